--- a/internal/fleet/promoter/world_test.go
+++ b/internal/fleet/promoter/world_test.go
@@ -278,7 +278,7 @@
 	}
 	if few == 0 {
 		if v.Try {
-			s.Returned(service, &v)
+			s.Fallback(service, &v)
 		}
 		version, few = oldVersion, w.old
 	}
@@ -335,7 +335,7 @@
 		r.Took, r.Left = clientsWait, true
 	}
 	w.load[e]++
-	w.daemons[daemon].Sent(&r)
+	w.daemons[daemon].RunStarted(&r)
 	w.running = append(w.running, run{w.now.Add(r.Took), daemon, r, version})
 	if bad {
 		if w.bads++; w.bads == 50 {
@@ -352,7 +352,7 @@
 			continue
 		}
 		w.load[r.r.Endpoint]--
-		w.daemons[r.daemon].Ended(&r.r)
+		w.daemons[r.daemon].RunEnded(&r.r)
 	}
 	w.running = left
 }
--- a/internal/fleet/sweeper/sweeper.go
+++ b/internal/fleet/sweeper/sweeper.go
@@ -28,7 +28,7 @@
 	"brasschute/internal/core/waiter"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/platform/object"
-	"brasschute/internal/serve/carrier"
+	"brasschute/internal/serve/transferrer"
 )
 
 const (
@@ -100,7 +100,7 @@
 // does not say.
 func age(o *object.Object, now time.Time) (old, limit time.Duration, ok bool) {
 	if strings.HasPrefix(o.Key, inventory.HeldPrefix) {
-		var h carrier.Held
+		var h transferrer.HeldAnswer
 		ok = json.Unmarshal(o.Value, &h) == nil && h.AtUnix > 0
 		return now.Sub(time.Unix(h.AtUnix, 0)), HeldAge, ok
 	}
--- a/internal/fleet/sweeper/sweeper_test.go
+++ b/internal/fleet/sweeper/sweeper_test.go
@@ -9,7 +9,7 @@
 
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/platform/object"
-	"brasschute/internal/serve/carrier"
+	"brasschute/internal/serve/transferrer"
 )
 
 type store map[string]object.Object
@@ -49,8 +49,8 @@
 		{"member left behind", true, "members/z/a", inventory.Member{RenewedUnix: 1}, 2 * MemberAge, false},
 		{"member without a time", true, "members/z/a", inventory.Member{}, 2 * MemberAge, true},
 		{"not the leader", false, "members/z/a", inventory.Member{RenewedUnix: 1}, 2 * MemberAge, true},
-		{"held answer", true, "held/a", carrier.Held{AtUnix: 1}, 2 * MemberAge, true},
-		{"held answer nobody came for", true, "held/a", carrier.Held{AtUnix: 1}, 2 * HeldAge, false},
+		{"held answer", true, "held/a", transferrer.HeldAnswer{AtUnix: 1}, 2 * MemberAge, true},
+		{"held answer nobody came for", true, "held/a", transferrer.HeldAnswer{AtUnix: 1}, 2 * HeldAge, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -79,7 +79,7 @@
 			v.RenewedUnix = now
 		}
 		return v
-	case carrier.Held:
+	case transferrer.HeldAnswer:
 		v.AtUnix = now
 		return v
 	}
--- a/internal/measure/experiment/experiment_test.go
+++ b/internal/measure/experiment/experiment_test.go
@@ -231,7 +231,7 @@
 		if d.streamer == nil {
 			return
 		}
-		d.streamer.Sweep()
+		d.streamer.ScheduleMoves()
 		if d.evacuator != nil {
 			d.evacuator.Hurry()
 		}
@@ -367,7 +367,7 @@
 	usage       frame.Usage
 }
 
-func (s *sink) Frame(f *frame.Frame) error {
+func (s *sink) WriteFrame(f *frame.Frame) error {
 	now := time.Now()
 	if s.first == 0 {
 		s.first = now.Sub(s.begun)
@@ -387,7 +387,7 @@
 	c := &call.Call{
 		Request: identifier.Request(fmt.Sprint(n)), Instance: identifier.Request(fmt.Sprintf("%d~%d", n, b.seed)), Received: time.Now(),
 		Plan: b.plan, Service: service, Pool: b.pool, Body: body, Prompt: r.Prompt, Blocks: prefix.Blocks(nil, r.Prompt),
-		PromptTokens: prefix.Tokens(len(r.Prompt)), MaxTokens: r.Output, Known: r.Known, Conversation: r.Conversation, Streaming: true,
+		PromptTokens: prefix.Tokens(len(r.Prompt)), MaxTokens: r.Output, PriorTokens: r.Known, Conversation: r.Conversation, Streaming: true,
 	}
 	rec := &recorder.Record{}
 	out := &sink{begun: time.Now()}
--- a/internal/ops/chronicler/chronicler.go
+++ b/internal/ops/chronicler/chronicler.go
@@ -10,7 +10,7 @@
 // # Usage
 //
 //	c := chronicler.New(chronicler.Config{Logger: l, Metrics: scope})
-//	c.Ended(q, &result)
+//	c.RequestEnded(q, &result)
 package chronicler
 
 import (
@@ -78,14 +78,14 @@
 	}
 }
 
-// Ended writes down how a request ended.
-func (c *Chronicler) Ended(q *request.Request, r *relayer.Result) {
+// RequestEnded writes down how a request ended.
+func (c *Chronicler) RequestEnded(q *request.Request, r *relayer.Result) {
 	took := time.Since(q.Received)
 	s := c.series(key{r.Outcome, r.Status, string(q.Service)})
 	s.ended.Inc(1)
 	s.took.RecordDuration(took)
-	if r.First > 0 {
-		s.first.RecordDuration(r.First)
+	if r.TimeToFirst > 0 {
+		s.first.RecordDuration(r.TimeToFirst)
 	}
 	good := r.Outcome == relayer.Answered && r.Status < 300
 	if good && !c.answered.Allow() || !good && !c.failed.Allow() {
@@ -97,8 +97,8 @@
 func (c *Chronicler) line(q *request.Request, r *relayer.Result, took time.Duration) {
 	fields := []any{
 		"request", q.ID, "outcome", r.Outcome, "status", r.Status, "took_ms", took.Milliseconds(),
-		"first_ms", r.First.Milliseconds(), "events", r.Events, "configuration", q.Number, "service", q.Service,
-		"patience_ms", q.Patience.Milliseconds(), "tokens", q.PromptTokens,
+		"first_ms", r.TimeToFirst.Milliseconds(), "events", r.Events, "configuration", q.ConfigurationNumber, "service", q.Service,
+		"patience_ms", q.ClientTimeout.Milliseconds(), "tokens", q.PromptTokens,
 	}
 	if q.Route != nil {
 		fields = append(fields, "route", q.Route.Name)
--- a/internal/ops/chronicler/chronicler_test.go
+++ b/internal/ops/chronicler/chronicler_test.go
@@ -17,8 +17,8 @@
 
 func ended() (*request.Request, *relayer.Result) {
 	q := &request.Request{
-		ID: "r-1", Received: time.Now(), Number: 7, Service: "lm", Route: &catalog.Route{Name: "letters"},
-		Organisation: &catalog.Organisation{Name: "desk"}, Patience: time.Second, PromptTokens: 17_000,
+		ID: "r-1", Received: time.Now(), ConfigurationNumber: 7, Service: "lm", Route: &catalog.Route{Name: "letters"},
+		Organisation: &catalog.Organisation{Name: "desk"}, ClientTimeout: time.Second, PromptTokens: 17_000,
 	}
 	return q, &relayer.Result{Outcome: relayer.Unknown, Status: 502, Reason: "no answer", Excluded: selector.Excluded{Leaving: 3, Tried: 1}, Attempts: []relayer.Attempt{
 		{Endpoint: "i-1", Predicted: 30 * time.Millisecond, Cached: 13_000, Took: 5 * time.Millisecond, Outcome: "no answer"},
@@ -30,7 +30,7 @@
 	c := New(Config{Logger: logger.New(logger.Config{Level: "info", Format: "json", Output: &out}), Metrics: tally.NoopScope})
 	q, r := ended()
 	for range 10 * failedPerSecond {
-		c.Ended(q, r)
+		c.RequestEnded(q, r)
 	}
 	lines := strings.Count(out.String(), "\n")
 	if lines < failedPerSecond || lines > 2*failedPerSecond {
--- a/internal/peer/reporter/reporter.go
+++ b/internal/peer/reporter/reporter.go
@@ -14,7 +14,7 @@
 // # Usage
 //
 //	r := reporter.New(reporter.Config{Host: name, Dialer: d, Leaving: registry.Leaving, Spread: hurry, ...})
-//	r.Broke(ctx, &reporter.Break{Fingerprint: f, Request: id, Pick: pick})
+//	r.ReportBreak(ctx, &reporter.Break{Fingerprint: f, Request: id, Pick: pick})
 package reporter
 
 import (
@@ -85,9 +85,9 @@
 	return r
 }
 
-// Broke looks whether an endpoint has ended that broke off a request. It returns when that is
+// ReportBreak looks whether an endpoint has ended that broke off a request. It returns when that is
 // found, or after [patience]; what is found later counts, too.
-func (r *Reporter) Broke(ctx context.Context, b *Break) {
+func (r *Reporter) ReportBreak(ctx context.Context, b *Break) {
 	if _, leaving := r.c.Leaving(b.Pick); leaving {
 		return
 	}
--- a/internal/peer/reporter/reporter_test.go
+++ b/internal/peer/reporter/reporter_test.go
@@ -70,7 +70,7 @@
 				var spread atomic.Int32
 				r := newReporter(c.h, c.leaving, &spread)
 				begun := time.Now()
-				r.Broke(t.Context(), &Break{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}})
+				r.ReportBreak(t.Context(), &Break{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}})
 				if took := time.Since(begun); took > patience {
 					t.Errorf("the request was held up for %v", took)
 				}
@@ -90,7 +90,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			var spread atomic.Int32
 			r := newReporter(host{time.Millisecond, syscall.ECONNREFUSED}, false, &spread)
-			r.Broke(t.Context(), &Break{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}, Events: events})
+			r.ReportBreak(t.Context(), &Break{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}, Events: events})
 			if got := r.List()[0].Endings[0].Weak; got != weak {
 				t.Errorf("after %d events: weak %v", events, got)
 			}
--- a/internal/role/entry/beliefs.go
+++ b/internal/role/entry/beliefs.go
@@ -97,7 +97,7 @@
 // endpointsChanged passes on at once that endpoints began to leave, and moves
 // the streams that run there.
 func (e *Entry) endpointsChanged() {
-	e.streamer.Sweep()
+	e.streamer.ScheduleMoves()
 	e.evacuator.Hurry()
 	e.exchanger.Hurry()
 }
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -65,7 +65,7 @@
 	"brasschute/internal/route/limiter"
 	"brasschute/internal/route/poller"
 	"brasschute/internal/route/registry"
-	"brasschute/internal/serve/carrier"
+	"brasschute/internal/serve/transferrer"
 	"brasschute/internal/serve/claimer"
 	"brasschute/internal/serve/forwarder"
 	"brasschute/internal/serve/handler"
@@ -203,9 +203,9 @@
 		Forwarder: forwarder.New(forwarder.Config{
 			Registry: e.registry, Caller: endpoints, Budgeter: budget, Zone: s.AvailabilityZone, Quarantine: e.quarantine,
 		}),
-		Carrier:  carrier.New(carrier.Config{Ledger: e.ledger, Holder: kept, Peer: e.exchanger.Peer, Store: e.platform}),
+		Carrier:  transferrer.New(transferrer.Config{Ledger: e.ledger, Holder: kept, Peer: e.exchanger.Peer, Store: e.platform}),
 		Sealer:   sealer.New(sealer.Config{Key: key}),
-		Recorder: records, Daemons: e.ledger, Logger: e.c.Logger, Metrics: e.scope, Earn: budget.Earn,
+		Recorder: records, Daemons: e.ledger, Logger: e.c.Logger, Metrics: e.scope, EarnRetry: budget.Earn,
 	})
 	e.tree = suture.New("entry", suture.Spec{EventHook: e.event})
 	e.tree.Add(watcher.New(watcher.Config{
@@ -259,7 +259,7 @@
 	}
 	o := operator.New(operator.Config{
 		Keys: keys, Keeper: e.keeper, Applier: applier.New(applier.Config{Store: e.platform, Keeper: e.keeper}),
-		Ledger: e.ledger, Registry: e.registry, Recorder: e.handler.Records(), Peer: e.exchanger.Peer, Trails: e.trails,
+		Ledger: e.ledger, Registry: e.registry, Recorder: e.handler.Recorder(), Peer: e.exchanger.Peer, Trails: e.trails,
 		Repairs:  e.repairs,
 		State:    func() string { return e.handler.Phase().String() },
 		InFlight: e.handler.InFlight, PlatformReachable: e.reachable.Load,
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -289,8 +289,8 @@
 	})
 	relay := relayer.New(relayer.Config{
 		Registry: g.registry, Placer: placer.New(placer.Config{Registry: g.registry, Estimator: &g.estimator, Zone: d.AvailabilityZone}),
-		Sender: g.sender, Codec: platform.Codec{}, Budget: g, Began: g.began, Demand: &g.demander, Quarantine: g.quarantine,
-		Versions: g.splitter, Listener: g,
+		Sender: g.sender, Codec: platform.Codec{}, Budget: g, OnBegin: g.began, Demand: &g.demander, Quarantine: g.quarantine,
+		Versions: g.splitter, ReplyObserver: g,
 	})
 	g.receiver = receiver.New(receiver.Config{
 		Versioner: &g.versioner, Relayer: relay, Quota: g, Quarantine: g.quarantine, Decode: platform.DecodeRequest, Refuse: platform.Codec{}.EncodeRefusal,
--- a/internal/role/gateway/limits.go
+++ b/internal/role/gateway/limits.go
@@ -38,19 +38,19 @@
 	return f
 }
 
-// Answered takes in what an endpoint says of itself in the head of an answer.
-func (g *Gateway) Answered(q *request.Request, pick *registry.Pick, reply *request.Reply, sent time.Time) {
-	if reply.Departing {
+// ObserveReply takes in what an endpoint says of itself in the head of an answer.
+func (g *Gateway) ObserveReply(q *request.Request, pick *registry.Pick, reply *request.Reply, sent time.Time) {
+	if reply.EndpointLeaving {
 		g.departs(q, pick)
 	}
-	if reply.Limit.Unreadable {
+	if reply.Limit.Invalid {
 		g.scope.Counter("endpoint_words_unreadable").Inc(1)
 		if g.limitLines.Allow() {
 			g.c.Logger.Warn("endpoint names a limit that can't be read", "request", q.ID, "endpoint", pick.Endpoint, "born", pick.Born)
 		}
 		return
 	}
-	g.pacer.Heard(pick.Life(), pacer.Word{PerSecond: reply.Limit.PerSecond, Limited: reply.Limit.Named}, sent)
+	g.pacer.Heard(pick.Life(), pacer.Word{PerSecond: reply.Limit.PerSecond, Limited: reply.Limit.Present}, sent)
 }
 
 // limitChanged writes down that an endpoint takes more or less than before, and tells peers.
--- a/internal/role/gateway/rests.go
+++ b/internal/role/gateway/rests.go
@@ -18,10 +18,10 @@
 // restNotes bounds a daemon's notes about rests.
 func restNotes() *rate.Limiter { return rate.NewLimiter(restNotesPerSecond, 1) }
 
-// Rests leaves an endpoint alone that turned a request away and wants nothing from this daemon
+// ObserveBackoff leaves an endpoint alone that turned a request away and wants nothing from this daemon
 // for a time. Others are told and spare it: else each of them finds out with a request of a
 // client, whose next try takes from the retry budget of the service.
-func (g *Gateway) Rests(q *request.Request, pick *registry.Pick, d time.Duration) {
+func (g *Gateway) ObserveBackoff(q *request.Request, pick *registry.Pick, d time.Duration) {
 	until := g.registry.Rest(pick, d)
 	g.scope.Counter("endpoint_rests").Inc(1)
 	if g.limitLines.Allow() {
--- a/internal/route/quarantiner/quarantiner_test.go
+++ b/internal/route/quarantiner/quarantiner_test.go
@@ -141,8 +141,8 @@
 func TestWaitingAttemptsAreWithdrawn(t *testing.T) {
 	inBubble(t, func(t *testing.T, z *Quarantiner) {
 		var withdrawn [2]bool
-		z.Enter(fatal, func() { withdrawn[0] = true })
-		leave := z.Enter(fatal, func() { withdrawn[1] = true })
+		z.Track(fatal, func() { withdrawn[0] = true })
+		leave := z.Track(fatal, func() { withdrawn[1] = true })
 		z.Ended(fatal, ending(1))
 		leave()
 		z.Ended(fatal, ending(2))
--- a/internal/route/quarantiner/running.go
+++ b/internal/route/quarantiner/running.go
@@ -5,10 +5,10 @@
 // attempt is one send under way.
 type attempt struct{ withdraw func() }
 
-// Enter notes an attempt that withdraw ends, which is called once if the request comes to be
+// Track notes an attempt that withdraw ends, which is called once if the request comes to be
 // held meanwhile: it may wait at an endpoint that has not begun it. leave is called when the
 // endpoint has brought something, or the attempt has ended.
-func (z *Quarantiner) Enter(f identifier.Fingerprint, withdraw func()) (leave func()) {
+func (z *Quarantiner) Track(f identifier.Fingerprint, withdraw func()) (leave func()) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	a := &attempt{withdraw}
--- a/internal/route/splitter/splitter.go
+++ b/internal/route/splitter/splitter.go
@@ -26,9 +26,9 @@
 //	s.Put(orders, source)               // from the store
 //	s.Hear(&grant, source)              // from the holder, or passed on
 //	versions := s.Choose(&ask)          // for each choice of an endpoint
-//	if s.Barred(service, version) {...} // right before the first byte
-//	s.Sent(&run)
-//	s.Ended(&run)                       // what came of it
+//	if s.Blocked(service, version) {...} // right before the first byte
+//	s.RunStarted(&run)
+//	s.RunEnded(&run)                       // what came of it
 package splitter
 
 import (
@@ -242,9 +242,9 @@
 	return now.Add(a.Lasts).After(v.grant.Ends)
 }
 
-// Returned gives back what a request was granted that found no endpoint of the version, and
+// Fallback gives back what a request was granted that found no endpoint of the version, and
 // says where else it may go.
-func (s *Splitter) Returned(name identifier.Service, granted *selector.Versions) selector.Versions {
+func (s *Splitter) Fallback(name identifier.Service, granted *selector.Versions) selector.Versions {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.services[name]
@@ -257,9 +257,9 @@
 	return v.old()
 }
 
-// Barred tells whether an endpoint of a version may not get a request now, though it was
+// Blocked tells whether an endpoint of a version may not get a request now, though it was
 // chosen for it.
-func (s *Splitter) Barred(name identifier.Service, version identifier.Version) bool {
+func (s *Splitter) Blocked(name identifier.Service, version identifier.Version) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.services[name]
--- a/internal/route/splitter/splitter_test.go
+++ b/internal/route/splitter/splitter_test.go
@@ -116,7 +116,7 @@
 		t.Errorf("%+v without any order", v)
 	}
 	d.put(s)
-	if v := ask(s); len(v.Without) != 1 || v.Without[0] != "v2" || !s.Barred(lm, "v2") {
+	if v := ask(s); len(v.Without) != 1 || v.Without[0] != "v2" || !s.Blocked(lm, "v2") {
 		t.Errorf("%+v after the order", v)
 	}
 	d.r.Revision, d.r.Stored = 2, rollout.Reverted
@@ -136,7 +136,7 @@
 	}
 	d.r.Revision, d.r.Stored, d.r.Target = 5, rollout.Ordered, "v3"
 	d.put(s)
-	if v := ask(s); len(v.Without) != 2 || !s.Barred(lm, "v2") || !s.Barred(lm, "v3") || s.Barred(lm, "v1") {
+	if v := ask(s); len(v.Without) != 2 || !s.Blocked(lm, "v2") || !s.Blocked(lm, "v3") || s.Blocked(lm, "v1") {
 		t.Errorf("%+v after an order of another version", v)
 	}
 }
@@ -171,12 +171,12 @@
 			break
 		}
 	}
-	if s.Barred(lm, "v2") {
+	if s.Blocked(lm, "v2") {
 		t.Error("barred while it is tried")
 	}
 	g.Phase, g.Beat = rollout.Reverted, 2
 	s.Hear(&g, "holder")
-	if !s.Barred(lm, "v2") {
+	if !s.Blocked(lm, "v2") {
 		t.Error("not barred after it was reverted")
 	}
 }
--- a/internal/route/splitter/tally.go
+++ b/internal/route/splitter/tally.go
@@ -40,7 +40,7 @@
 	Route   string
 	// Endpoint is empty for all of other versions.
 	Endpoint identifier.Endpoint
-	// Sent counts requests, Ended those that do not run any more.
+	// RunStarted counts requests, Ended those that do not run any more.
 	Sent    int
 	Ended   int
 	Answers int
@@ -71,9 +71,9 @@
 	Left bool
 }
 
-// Sent counts a request that is sent, and tells whether it counts: whether Ended is to be told
+// RunStarted counts a request that is sent, and tells whether it counts: whether Ended is to be told
 // of the same run.
-func (s *Splitter) Sent(r *Run) (counts bool) {
+func (s *Splitter) RunStarted(r *Run) (counts bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t, v := s.tally(r)
@@ -85,8 +85,8 @@
 	return true
 }
 
-// Ended counts what came of a request.
-func (s *Splitter) Ended(r *Run) {
+// RunEnded counts what came of a request.
+func (s *Splitter) RunEnded(r *Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t, v := s.tally(r)
--- a/internal/serve/call/call.go
+++ b/internal/serve/call/call.go
@@ -33,7 +33,7 @@
 	// Plan is the configuration that decides this request, from its first
 	// decision to its last; Number is its number.
 	Plan         *compiler.Plan
-	Number       identifier.ConfigurationNumber
+	ConfigurationNumber       identifier.ConfigurationNumber
 	Organisation *document.Organisation
 	Service      *document.Service
 
@@ -54,15 +54,15 @@
 	// Conversation is a hash that the turns of one conversation share, 0 if
 	// not known.
 	Conversation uint64
-	// Known are the prompt tokens that an earlier turn of the conversation has
+	// PriorTokens are the prompt tokens that an earlier turn of the conversation has
 	// sent already.
-	Known identifier.Tokens
+	PriorTokens identifier.Tokens
 	// PromptTokens is estimated; MaxTokens is what the caller asked for.
 	PromptTokens identifier.Tokens
 	MaxTokens    identifier.Tokens
 
-	// Key is the Idempotency-Key, empty if none.
-	Key           string
+	// IdempotencyKey is the Idempotency-IdempotencyKey, empty if none.
+	IdempotencyKey           string
 	NonIdempotent bool
 	// Timeout bounds the call.
 	Timeout time.Duration
--- a/internal/serve/claimer/batch.go
+++ b/internal/serve/claimer/batch.go
@@ -86,7 +86,7 @@
 // and withdrawn; the others are tried again after the pause returned.
 func (c *Claimer) failed(i int, op *operation, err error) (pause time.Duration) {
 	if op.verb == claim {
-		op.done <- fmt.Errorf("%w: %w", ErrImpossible, err)
+		op.done <- fmt.Errorf("%w: %w", ErrNotClaimed, err)
 		if errors.Is(err, object.ErrUnavailable) && !errors.Is(err, object.ErrUnknown) {
 			return 0
 		}
@@ -216,7 +216,7 @@
 			return false, &Duplicate{Prior: prior, SameRequest: prior.Digest == op.entry.Digest}
 		}
 		if *size+op.entry.bytes() > maxShard {
-			return false, fmt.Errorf("%w: the shard is full of claims younger than %s", ErrImpossible, Retention)
+			return false, fmt.Errorf("%w: the shard is full of claims younger than %s", ErrNotClaimed, Retention)
 		}
 		*size += op.entry.bytes()
 		e := op.entry
--- a/internal/serve/claimer/claimer.go
+++ b/internal/serve/claimer/claimer.go
@@ -89,9 +89,9 @@
 	Store Store
 }
 
-// ErrImpossible is returned when the platform could not take the claim;
+// ErrNotClaimed is returned when the platform could not take the claim;
 // nothing ran.
-var ErrImpossible = errors.New("claim not possible")
+var ErrNotClaimed = errors.New("claim not possible")
 
 // Duplicate is the error of a key that is claimed already.
 type Duplicate struct {
@@ -123,8 +123,8 @@
 	return &Claim{c: c, shard: int(raw[0]) % Shards, key: key, entry: Entry{Token: token}}
 }
 
-// Names returns what Restore needs.
-func (m *Claim) Names() (key, token string) { return m.key, m.entry.Token }
+// Identity returns what Restore needs.
+func (m *Claim) Identity() (key, token string) { return m.key, m.entry.Token }
 
 type verb int
 
@@ -176,7 +176,7 @@
 	m.entry = Entry{Token: base64.RawURLEncoding.EncodeToString(token), Digest: k.Digest}
 	op := &operation{verb: claim, key: m.key, entry: m.entry, done: make(chan error, 1)}
 	if !c.push(m.shard, op) {
-		return nil, fmt.Errorf("%w: too many claims wait", ErrImpossible)
+		return nil, fmt.Errorf("%w: too many claims wait", ErrNotClaimed)
 	}
 	select {
 	case err := <-op.done:
@@ -186,7 +186,7 @@
 		return m, nil
 	case <-ctx.Done():
 		m.Release()
-		return nil, fmt.Errorf("%w: %w", ErrImpossible, ctx.Err())
+		return nil, fmt.Errorf("%w: %w", ErrNotClaimed, ctx.Err())
 	}
 }
 
--- a/internal/serve/forwarder/forwarder.go
+++ b/internal/serve/forwarder/forwarder.go
@@ -86,12 +86,12 @@
 	var tried []identifier.Endpoint
 	maybeRan := false
 	for n := 1; ; n++ {
-		if held := streamer.Held(f.c.Quarantine, c); held != nil {
-			return nil, held.With(outcome(maybeRan))
+		if held := streamer.QuarantineRefusal(f.c.Quarantine, c); held != nil {
+			return nil, held.WithOutcome(outcome(maybeRan))
 		}
 		pick, problem := f.choose(c, rec, tried)
 		if problem != nil {
-			return nil, problem.With(outcome(maybeRan))
+			return nil, problem.WithOutcome(outcome(maybeRan))
 		}
 		var state caller.Attempt
 		answer, err := f.attempt(ctx, c, pick, &state)
@@ -106,7 +106,7 @@
 		sent := state.State() != caller.Unsent && !errors.Is(err, caller.ErrNotRun)
 		maybeRan = maybeRan || sent
 		if sent && ctx.Err() == nil {
-			f.c.Quarantine.Broke(ctx, streamer.Broken(c, pick, 0))
+			f.c.Quarantine.ReportBreak(ctx, streamer.NewBreak(c, pick, 0))
 		}
 		tried = append(tried, pick.Endpoint)
 		if problem := f.final(ctx, c, err, n, maybeRan); problem != nil {
@@ -129,24 +129,24 @@
 		return ctx.Err()
 	}
 	if ctx.Err() != nil {
-		return refusal.New(refusal.DeadlinePassed, "the deadline passed").With(outcome(maybeRan)).After(retryAfter)
+		return refusal.New(refusal.DeadlinePassed, "the deadline passed").WithOutcome(outcome(maybeRan)).WithRetryAfter(retryAfter)
 	}
 	if maybeRan && c.NonIdempotent || n >= maxAttempts || !f.c.Budgeter.Spend() {
-		return refusal.New(refusal.EndpointFailed, err.Error()).With(outcome(maybeRan)).After(retryAfter)
+		return refusal.New(refusal.EndpointFailed, err.Error()).WithOutcome(outcome(maybeRan)).WithRetryAfter(retryAfter)
 	}
 	return nil
 }
 
 func (f *Forwarder) choose(c *call.Call, rec *recorder.Record, tried []identifier.Endpoint) (*registry.Pick, *refusal.Problem) {
-	pick, d := f.c.Registry.Choose(&registry.Query{Pool: c.Pool.Name, Select: streamer.Query(c, f.c.Zone, tried)})
+	pick, d := f.c.Registry.Choose(&registry.Query{Pool: c.Pool.Name, Select: streamer.NewQuery(c, f.c.Zone, tried)})
 	var note recorder.Attempt
-	streamer.Explain(&note, &d)
+	streamer.RecordDecision(&note, &d)
 	if pick != nil {
 		note.Endpoint = pick.Endpoint
 	}
 	rec.Attempts = append(rec.Attempts, note)
 	if pick == nil {
-		return nil, refusal.New(refusal.NoEndpoint, "no endpoint can serve: "+note.Excluded).After(retryAfter)
+		return nil, refusal.New(refusal.NoEndpoint, "no endpoint can serve: "+note.Excluded).WithRetryAfter(retryAfter)
 	}
 	return pick, nil
 }
--- a/internal/serve/forwarder/forwarder_test.go
+++ b/internal/serve/forwarder/forwarder_test.go
@@ -80,8 +80,8 @@
 // sink takes frames of an answer that never comes.
 type sink struct{}
 
-// Frame takes a frame.
-func (sink) Frame(*frame.Frame) error { return nil }
+// WriteFrame takes a frame.
+func (sink) WriteFrame(*frame.Frame) error { return nil }
 
 // A lookup, a posting that may not be repeated, and a letter end each endpoint that begins to
 // run them. Their callers come back, and each is sent on: to two endpoints and no more, and
--- a/internal/serve/handler/answer.go
+++ b/internal/serve/handler/answer.go
@@ -35,8 +35,8 @@
 	started bool
 }
 
-// Frame sends one frame.
-func (e *events) Frame(f *frame.Frame) error {
+// WriteFrame sends one frame.
+func (e *events) WriteFrame(f *frame.Frame) error {
 	e.start()
 	out := public(f, e.j.Call)
 	data, err := json.Marshal(&out)
@@ -117,8 +117,8 @@
 	last *frame.Frame
 }
 
-// Frame keeps the finishing frame; the text is in the job.
-func (a *collected) Frame(f *frame.Frame) error {
+// WriteFrame keeps the finishing frame; the text is in the job.
+func (a *collected) WriteFrame(f *frame.Frame) error {
 	if f.Finished() {
 		a.last = f
 	}
--- a/internal/serve/handler/decision.go
+++ b/internal/serve/handler/decision.go
@@ -18,7 +18,7 @@
 
 func (h *Handler) record(c *call.Call) *recorder.Record {
 	rec := &recorder.Record{
-		Request: c.Request, Instance: c.Instance, Host: h.c.Host, Received: c.Received, Configuration: c.Number,
+		Request: c.Request, Instance: c.Instance, Host: h.c.Host, Received: c.Received, Configuration: c.ConfigurationNumber,
 		NonIdempotent: c.NonIdempotent,
 	}
 	if c.Organisation != nil {
@@ -51,7 +51,7 @@
 	}
 	problem := refusal.New(refusal.RefusedByRule, action.Refuse)
 	if action.RetryAfter > 0 {
-		problem = problem.After(action.RetryAfter.Std())
+		problem = problem.WithRetryAfter(action.RetryAfter.Std())
 	}
 	return problem
 }
@@ -114,22 +114,22 @@
 	case err == nil:
 		return release, nil
 	case errors.As(err, &refused):
-		return nil, refusal.New(refusal.OverLimit, refused.Reason).After(refused.RetryAfter)
+		return nil, refusal.New(refusal.OverLimit, refused.Reason).WithRetryAfter(refused.RetryAfter)
 	default:
-		return nil, refusal.New(refusal.DeadlinePassed, "the deadline passed in the queue").After(retryAfter)
+		return nil, refusal.New(refusal.DeadlinePassed, "the deadline passed in the queue").WithRetryAfter(retryAfter)
 	}
 }
 
 // claim claims a keyed request; done means that the answer of the earlier run
 // has been sent.
 func (h *Handler) claim(ctx context.Context, w http.ResponseWriter, c *call.Call, rec *recorder.Record) (claim *claimer.Claim, problem *refusal.Problem, done bool) {
-	if c.Key == "" {
+	if c.IdempotencyKey == "" {
 		return nil, nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	claim, err := h.c.Claimer.Claim(ctx, &claimer.Key{
-		Organisation: c.Organisation.Name, Service: c.Service.Name, Key: c.Key, Digest: c.Digest,
+		Organisation: c.Organisation.Name, Service: c.Service.Name, Key: c.IdempotencyKey, Digest: c.Digest,
 	})
 	var duplicate *claimer.Duplicate
 	switch {
@@ -144,7 +144,7 @@
 		return nil, nil, false
 	}
 	rec.Claim = err.Error()
-	return nil, refusal.New(refusal.ClaimImpossible, "the key could not be claimed; repeat the request with the same key").After(retryAfter), false
+	return nil, refusal.New(refusal.ClaimImpossible, "the key could not be claimed; repeat the request with the same key").WithRetryAfter(retryAfter), false
 }
 
 func (h *Handler) duplicate(w http.ResponseWriter, d *claimer.Duplicate, rec *recorder.Record) (problem *refusal.Problem, done bool) {
@@ -154,12 +154,12 @@
 		return refusal.New(refusal.KeyReused, "the Idempotency-Key was used for another request"), false
 	case !d.Prior.Done:
 		return refusal.New(refusal.InProgress, "a request with this key is under way, or its daemon failed and its outcome is not known").
-			With(refusal.Unknown).After(retryAfter), false
+			WithOutcome(refusal.Unknown).WithRetryAfter(retryAfter), false
 	case d.Prior.ContentType == heldType:
 		collect(w, string(d.Prior.Answer))
 		return nil, true
 	case len(d.Prior.Answer) == 0:
-		return refusal.New(refusal.AlreadyRan, "the request with this key ran; its answer is too large to be kept").With(refusal.Ran), false
+		return refusal.New(refusal.AlreadyRan, "the request with this key ran; its answer is too large to be kept").WithOutcome(refusal.Ran), false
 	}
 	w.Header().Set("Content-Type", d.Prior.ContentType)
 	w.Header().Set("Idempotent-Replayed", "true")
--- a/internal/serve/handler/handler.go
+++ b/internal/serve/handler/handler.go
@@ -41,7 +41,7 @@
 	"brasschute/internal/route/limiter"
 	"brasschute/internal/route/registry"
 	"brasschute/internal/serve/call"
-	"brasschute/internal/serve/carrier"
+	"brasschute/internal/serve/transferrer"
 	"brasschute/internal/serve/claimer"
 	"brasschute/internal/serve/forwarder"
 	"brasschute/internal/serve/parser"
@@ -76,14 +76,14 @@
 	Claimer   *claimer.Claimer
 	Streamer  *streamer.Streamer
 	Forwarder *forwarder.Forwarder
-	Carrier   *carrier.Carrier
+	Carrier   *transferrer.Carrier
 	Sealer    *sealer.Sealer
 	Recorder  *recorder.Recorder
 	Daemons   Daemons
 	Logger    *log.Logger
 	Metrics   tally.Scope
-	// Earn is called once a request, for the retry budget.
-	Earn func()
+	// EarnRetry is called once a request, for the retry budget.
+	EarnRetry func()
 }
 
 // Handler serves callers. Use New.
@@ -121,8 +121,8 @@
 	h.mux.ServeHTTP(w, r)
 }
 
-// Records returns the recorder, for explanations.
-func (h *Handler) Records() *recorder.Recorder { return h.c.Recorder }
+// Recorder returns the recorder, for explanations.
+func (h *Handler) Recorder() *recorder.Recorder { return h.c.Recorder }
 
 // InFlight counts the requests being answered.
 func (h *Handler) InFlight() int {
@@ -142,22 +142,22 @@
 }
 
 func (h *Handler) unknown(w http.ResponseWriter, r *http.Request) {
-	refusal.New(refusal.UnknownService, "no such path").Write(w, parser.Identify(r))
+	refusal.New(refusal.UnknownService, "no such path").Write(w, parser.RequestID(r))
 }
 
 // request serves model and plain requests alike up to the routing.
 func (h *Handler) request(w http.ResponseWriter, r *http.Request) {
 	if !h.enter(r.Header.Get("Last-Event-ID") != "") {
-		h.refuseEarly(w, r, refusal.New(refusal.Draining, "this host is leaving; another one will answer").After(time.Second))
+		h.refuseEarly(w, r, refusal.New(refusal.Draining, "this host is leaving; another one will answer").WithRetryAfter(time.Second))
 		return
 	}
 	defer h.leave()
 	s := h.c.Keeper.InForce()
 	if s == nil {
-		h.refuseEarly(w, r, refusal.New(refusal.NoConfiguration, "no configuration is in force yet").After(retryAfter))
+		h.refuseEarly(w, r, refusal.New(refusal.NoConfiguration, "no configuration is in force yet").WithRetryAfter(retryAfter))
 		return
 	}
-	h.c.Earn()
+	h.c.EarnRetry()
 	c, problem := h.c.Parser.Parse(w, r, s.Plan, s.Number())
 	w.Header().Set("Request-Id", string(c.Request))
 	if c.Traceparent != "" {
@@ -181,7 +181,7 @@
 }
 
 func (h *Handler) refuseEarly(w http.ResponseWriter, r *http.Request, problem *refusal.Problem) {
-	id := parser.Identify(r)
+	id := parser.RequestID(r)
 	w.Header().Set("Request-Id", string(id))
 	problem.Write(w, id)
 	h.finish(&recorder.Record{Request: id, Host: h.c.Host, Received: time.Now()}, problem)
--- a/internal/serve/handler/model.go
+++ b/internal/serve/handler/model.go
@@ -32,7 +32,7 @@
 	seal := func(holders []netip.AddrPort) string { return h.seal(j, holders) }
 	var out answer = &collected{j: j}
 	if j.Call.Streaming && j.Call.HoldFor == "" {
-		out = &events{w: w, j: j, seal: seal, own: h.c.Carrier.Own()}
+		out = &events{w: w, j: j, seal: seal, own: h.c.Carrier.SelfAddresses()}
 	}
 	err := h.c.Streamer.Run(ctx, j, out)
 	switch {
@@ -63,7 +63,7 @@
 func (h *Handler) interrupted(w http.ResponseWriter, j *streamer.Job, out answer, claim *claimer.Claim, err error) {
 	var problem *refusal.Problem
 	if !errors.As(err, &problem) {
-		h.c.Carrier.Keep(envelope(j, claim))
+		h.c.Carrier.StoreLocal(envelope(j, claim))
 		return
 	}
 	settle(claim, err, 0, "", nil)
@@ -79,7 +79,7 @@
 		if j.Stream != "" {
 			outcome = refusal.Unknown
 		}
-		problem := refusal.New(refusal.Draining, "this host is leaving and no peer could take over").With(outcome).After(time.Second)
+		problem := refusal.New(refusal.Draining, "this host is leaving and no peer could take over").WithOutcome(outcome).WithRetryAfter(time.Second)
 		settle(claim, problem, 0, "", nil)
 		out.refuse(w, problem)
 		return
@@ -103,7 +103,7 @@
 		Completions: c.Completions,
 	}
 	if claim != nil {
-		e.ClaimKey, e.ClaimToken = claim.Names()
+		e.ClaimKey, e.ClaimToken = claim.Identity()
 	}
 	e.HoldFor = string(c.HoldFor)
 	for _, zone := range c.Zones {
@@ -127,7 +127,7 @@
 func (h *Handler) models(w http.ResponseWriter, r *http.Request) {
 	s := h.c.Keeper.InForce()
 	if s == nil {
-		h.refuseEarly(w, r, refusal.New(refusal.NoConfiguration, "no configuration is in force yet").After(retryAfter))
+		h.refuseEarly(w, r, refusal.New(refusal.NoConfiguration, "no configuration is in force yet").WithRetryAfter(retryAfter))
 		return
 	}
 	if _, problem := parser.Authenticate(r, s.Plan); problem != nil {
--- a/internal/serve/handler/phase.go
+++ b/internal/serve/handler/phase.go
@@ -10,8 +10,8 @@
 // The phases, in their order.
 const (
 	Serving Phase = iota
-	// Lame: not ready, but everything is still served.
-	Lame
+	// LameDuck: not ready, but everything is still served.
+	LameDuck
 	// Refusing: new requests are refused as not run.
 	Refusing
 	// HandingOver: what is unfinished goes to peers.
@@ -71,7 +71,7 @@
 // answered or the deadline is near, then handing over. It returns when no
 // request is in flight any more.
 func (h *Handler) Drain(lame time.Duration, deadline time.Time) {
-	h.setPhase(Lame)
+	h.setPhase(LameDuck)
 	wait(nil, min(lame, time.Until(deadline)/2))
 	h.setPhase(Refusing)
 	wait(h.idle, time.Until(deadline)-handOverTime)
--- a/internal/serve/handler/resume.go
+++ b/internal/serve/handler/resume.go
@@ -53,7 +53,7 @@
 func (h *Handler) answers(w http.ResponseWriter, r *http.Request) {
 	s := h.c.Keeper.InForce()
 	if s == nil || !h.enter(true) {
-		h.refuseEarly(w, r, refusal.New(refusal.Draining, "this host cannot answer now").With(refusal.Unknown).After(time.Second))
+		h.refuseEarly(w, r, refusal.New(refusal.Draining, "this host cannot answer now").WithOutcome(refusal.Unknown).WithRetryAfter(time.Second))
 		return
 	}
 	defer h.leave()
@@ -69,7 +69,7 @@
 	}
 	e, ok := h.c.Carrier.Fetch(r.Context(), t)
 	if !ok {
-		h.refuseEarly(w, r, refusal.New(refusal.StreamLost, "no host holds this answer any more").With(refusal.Unknown))
+		h.refuseEarly(w, r, refusal.New(refusal.StreamLost, "no host holds this answer any more").WithOutcome(refusal.Unknown))
 		return
 	}
 	rec := &recorder.Record{Request: request(t.Instance), Host: h.c.Host, Received: time.Now(), Organisation: o.Name}
@@ -91,11 +91,11 @@
 	}
 	s := h.c.Keeper.InForce()
 	o := organisation(&s.Plan.Configuration, t.Organisation)
-	c, problem := h.c.Parser.Restore(&parser.Kept{
+	c, problem := h.c.Parser.Restore(&parser.SavedRequest{
 		Request: request(t.Instance), Instance: t.Instance, Organisation: o, Body: e.Body, Completions: e.Completions,
 	}, s.Plan, s.Number())
 	if problem != nil {
-		h.fail(w, c, rec, problem.With(refusal.Unknown))
+		h.fail(w, c, rec, problem.WithOutcome(refusal.Unknown))
 		return
 	}
 	c.NonIdempotent, c.Streaming, c.Priority = e.NonIdempotent, e.Streaming, e.Priority
@@ -147,11 +147,11 @@
 	}
 	missing := j.Delivered[offset:]
 	seal := func(holders []netip.AddrPort) string { return h.seal(j, holders) }
-	out := &events{w: w, j: j, seal: seal, own: h.c.Carrier.Own()}
+	out := &events{w: w, j: j, seal: seal, own: h.c.Carrier.SelfAddresses()}
 	delivered := j.Delivered
 	for i, text := range missing {
 		j.Offset = offset + i + 1
-		if err := out.Frame(repeated(j, offset+i, text)); err != nil {
+		if err := out.WriteFrame(repeated(j, offset+i, text)); err != nil {
 			j.Offset, j.Delivered = len(delivered), delivered
 			h.interrupted(w, j, out, claim, err)
 			return
--- a/internal/serve/handler/witness.go
+++ b/internal/serve/handler/witness.go
@@ -77,7 +77,7 @@
 func (h *Handler) hold(ctx context.Context, w http.ResponseWriter, e *rpc.Envelope, f *finished) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), holdTimeout)
 	defer cancel()
-	holders := h.c.Carrier.Hold(ctx, e)
+	holders := h.c.Carrier.HoldAnswer(ctx, e)
 	token := h.c.Sealer.Seal(&sealer.Token{Organisation: f.c.Organisation.Name, Instance: f.c.Instance, Holders: holders})
 	f.rec.Witness = "held until " + e.HoldFor + " acknowledges"
 	settle(f.claim, nil, http.StatusAccepted, heldType, []byte(token))
@@ -150,11 +150,11 @@
 func (h *Handler) collectHeld(ctx context.Context, w http.ResponseWriter, e *rpc.Envelope, rec *recorder.Record) {
 	s := h.c.Keeper.InForce()
 	c := &call.Call{
-		Request: rec.Request, Instance: identifier.Request(e.Request), Plan: s.Plan, Number: s.Number(),
+		Request: rec.Request, Instance: identifier.Request(e.Request), Plan: s.Plan, ConfigurationNumber: s.Number(),
 		Organisation: organisation(&s.Plan.Configuration, identifier.Organisation(e.Organisation)),
 		HoldFor:      identifier.Service(e.HoldFor), Service: &document.Service{Name: identifier.Service(e.Service)},
 	}
-	rec.Service, rec.Configuration = c.Service.Name, c.Number
+	rec.Service, rec.Configuration = c.Service.Name, c.ConfigurationNumber
 	a := &forwarder.Answer{Status: int(e.HeldStatus), Header: http.Header{"Content-Type": {e.HeldContentType}}, Body: e.HeldBody}
 	if err := h.witness(ctx, e, c, rec); err != nil {
 		h.hold(ctx, w, e, &finished{c: c, rec: rec, answer: a})
--- a/internal/serve/parser/parser.go
+++ b/internal/serve/parser/parser.go
@@ -82,9 +82,9 @@
 
 var identifierForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// Identify returns the id of a request, from its header or new. It never
+// RequestID returns the id of a request, from its header or new. It never
 // fails, so that refusals can name it too.
-func Identify(r *http.Request) identifier.Request {
+func RequestID(r *http.Request) identifier.Request {
 	id := r.Header.Get("Request-Id")
 	if identifierForm.MatchString(id) {
 		return identifier.Request(id)
@@ -95,7 +95,7 @@
 // Parse reads and checks one request.
 func (p *Parser) Parse(w http.ResponseWriter, r *http.Request, plan *compiler.Plan, number identifier.ConfigurationNumber) (*call.Call, *refusal.Problem) {
 	c := &call.Call{
-		Request: Identify(r), Received: time.Now(), Plan: plan, Number: number, Rule: compiler.NoRule,
+		Request: RequestID(r), Received: time.Now(), Plan: plan, ConfigurationNumber: number, Rule: compiler.NoRule,
 		Traceparent: r.Header.Get("Traceparent"), LastEventID: r.Header.Get("Last-Event-ID"),
 	}
 	c.Instance = c.Request + "~" + random()
@@ -246,7 +246,7 @@
 		}
 		if in.Messages[i].Role == assistant {
 			// The engine answered what stands before: it has read that.
-			c.Known = prefix.Tokens(len(c.Prompt))
+			c.PriorTokens = prefix.Tokens(len(c.Prompt))
 		}
 		if c.Conversation == 0 && in.Messages[i].Role == user {
 			// What stands before the first question is a preamble that many
@@ -314,10 +314,10 @@
 // finish sets what depends on caller and service together. Of their words on
 // idempotence the stricter wins.
 func finish(r *http.Request, c *call.Call) *refusal.Problem {
-	c.Key = r.Header.Get("Idempotency-Key")
+	c.IdempotencyKey = r.Header.Get("Idempotency-Key")
 	safe := r.Method == http.MethodGet || r.Method == http.MethodHead
-	c.NonIdempotent = c.Key != "" || !c.Service.Idempotent && !safe && c.Service.Kind == document.KindPlain
-	if c.NonIdempotent && c.Key == "" && c.Service.RequireKey {
+	c.NonIdempotent = c.IdempotencyKey != "" || !c.Service.Idempotent && !safe && c.Service.Kind == document.KindPlain
+	if c.NonIdempotent && c.IdempotencyKey == "" && c.Service.RequireKey {
 		return refusal.New(refusal.KeyRequired, "this service needs an Idempotency-Key")
 	}
 	c.Timeout = c.Service.Timeout.Std()
@@ -335,9 +335,9 @@
 	return nil
 }
 
-// Kept is the state of an interrupted model request, as another daemon knew
+// SavedRequest is the state of an interrupted model request, as another daemon knew
 // it.
-type Kept struct {
+type SavedRequest struct {
 	Request      identifier.Request
 	Instance     identifier.Request
 	Organisation *document.Organisation
@@ -346,9 +346,9 @@
 }
 
 // Restore parses a kept model request again, for whoever carries it on.
-func (p *Parser) Restore(k *Kept, plan *compiler.Plan, number identifier.ConfigurationNumber) (*call.Call, *refusal.Problem) {
+func (p *Parser) Restore(k *SavedRequest, plan *compiler.Plan, number identifier.ConfigurationNumber) (*call.Call, *refusal.Problem) {
 	c := &call.Call{
-		Request: k.Request, Instance: k.Instance, Received: time.Now(), Plan: plan, Number: number,
+		Request: k.Request, Instance: k.Instance, Received: time.Now(), Plan: plan, ConfigurationNumber: number,
 		Rule: compiler.NoRule, Organisation: k.Organisation, Completions: k.Completions, Body: k.Body,
 	}
 	var in input
--- a/internal/serve/placer/placer.go
+++ b/internal/serve/placer/placer.go
@@ -84,7 +84,7 @@
 	query := &registry.Query{
 		Pool: identifier.Pool(q.Service), Blocks: blocks, Sizes: sizes,
 		Select: selector.Query{
-			Now: now, Seed: streamer.Seed(q.ID), Zone: p.c.Zone, PromptTokens: q.PromptTokens, OutputTokens: q.OutputTokens,
+			Now: now, Seed: streamer.RoutingSeed(q.ID), Zone: p.c.Zone, PromptTokens: q.PromptTokens, OutputTokens: q.OutputTokens,
 			MaxInFlight: plainSlots, Target: max(q.Route.Objective-now.Sub(q.Received), time.Millisecond),
 			Prefill: int(p.c.Estimator.Of(q.Service, now).Speed), Decode: int(time.Second / p.c.Estimator.Token(q.Service)),
 			RecomputeWeight: recomputeWeight, Tried: tried, Versions: v, LateCost: lateCost(q),
@@ -102,32 +102,32 @@
 	return p.c.Registry.Choose(query)
 }
 
-// First takes in how long a pick took to its first event, or to its answer.
-func (p *Placer) First(q *request.Request, k *registry.Pick, took time.Duration) {
+// ObserveFirstEvent takes in how long a pick took to its first event, or to its answer.
+func (p *Placer) ObserveFirstEvent(q *request.Request, k *registry.Pick, took time.Duration) {
 	p.c.Registry.Observe(k, took)
-	if !q.Sized {
+	if !q.HasTokenCounts {
 		return
 	}
 	p.c.Estimator.Observe(q.Service, estimator.Observation{Uncached: k.Uncached, Ahead: k.Ahead, Streams: k.Streams, Took: took})
 }
 
-// Wrote takes in a stream that has ended, from its first event to its last.
-func (p *Placer) Wrote(q *request.Request, s *catalog.Service, events int, took time.Duration) {
+// ObserveStream takes in a stream that has ended, from its first event to its last.
+func (p *Placer) ObserveStream(q *request.Request, s *catalog.Service, events int, took time.Duration) {
 	p.c.Estimator.Wrote(q.Service, (events-1)*tokensPerEvent(s), took)
 }
 
-// Expected is how long a stream of so many events takes at an endpoint that is as quick as
+// ExpectedDuration is how long a stream of so many events takes at an endpoint that is as quick as
 // others; 0 for a plain call, of which nothing is known but how long others took.
-func (p *Placer) Expected(q *request.Request, s *catalog.Service, k *registry.Pick, events int) time.Duration {
-	if !q.Sized {
+func (p *Placer) ExpectedDuration(q *request.Request, s *catalog.Service, k *registry.Pick, events int) time.Duration {
+	if !q.HasTokenCounts {
 		return 0
 	}
 	return k.Usual + time.Duration(events*tokensPerEvent(s))*p.c.Estimator.Token(q.Service)
 }
 
-// Lasts is how long an answer may take at the most that is usual.
-func (p *Placer) Lasts(q *request.Request) time.Duration {
-	if !q.Sized {
+// MaxUsualDuration is how long an answer may take at the most that is usual.
+func (p *Placer) MaxUsualDuration(q *request.Request) time.Duration {
+	if !q.HasTokenCounts {
 		return q.Route.Objective
 	}
 	return q.Route.Objective/2 + lastsFactor*time.Duration(q.OutputTokens)*p.c.Estimator.Token(q.Service)/lastsPart
@@ -137,7 +137,7 @@
 // which is taken to grow with the tokens that its organisation pays for. A plain
 // call counts as one.
 func lateCost(q *request.Request) float64 {
-	if !q.Sized {
+	if !q.HasTokenCounts {
 		return 1
 	}
 	return max(worthPerToken*float64(q.PromptTokens+outputFactor*q.OutputTokens), leastWorth)
--- a/internal/serve/receiver/receiver.go
+++ b/internal/serve/receiver/receiver.go
@@ -68,7 +68,7 @@
 
 // Observer is told of each request's end.
 type Observer interface {
-	Ended(q *request.Request, r *relayer.Result)
+	RequestEnded(q *request.Request, r *relayer.Result)
 }
 
 // Config names the receiver's collaborators.
@@ -83,8 +83,8 @@
 	Decode func(r *http.Request, received time.Time) (*request.Request, error)
 	// Refuse sets the headers of an answer of the daemon's own.
 	Refuse func(h http.Header, id identifier.Request, retryAfter time.Duration)
-	// Arrived is told of each request for a service; may be nil.
-	Arrived func(*request.Request)
+	// OnArrival is told of each request for a service; may be nil.
+	OnArrival func(*request.Request)
 }
 
 // Receiver is the clients' handler. Use New.
@@ -97,8 +97,8 @@
 
 // New returns a receiver that serves.
 func New(c Config) *Receiver {
-	if c.Arrived == nil {
-		c.Arrived = func(*request.Request) {}
+	if c.OnArrival == nil {
+		c.OnArrival = func(*request.Request) {}
 	}
 	return &Receiver{c: c}
 }
@@ -142,9 +142,9 @@
 }
 
 func (v *Receiver) serve(w http.ResponseWriter, r *http.Request, c *catalog.Catalog, q *request.Request) {
-	v.c.Arrived(q)
+	v.c.OnArrival(q)
 	if verdict := v.c.Quarantine.Admit(q.Fingerprint(), q.ID); verdict.Held {
-		v.refuse(w, q, &relayer.Result{Outcome: relayer.NotRun, Fingerprint: q.Fingerprint(), Refusal: relayer.HeldRefusal(&verdict)})
+		v.refuse(w, q, &relayer.Result{Outcome: relayer.NotRun, Fingerprint: q.Fingerprint(), Refusal: relayer.QuarantineRefusal(&verdict)})
 		return
 	}
 	if verdict := v.c.Quota.Admit(q); verdict.RetryAfter > 0 {
@@ -160,7 +160,7 @@
 		v.refuse(w, q, &res)
 		return
 	}
-	v.c.Observer.Ended(q, &res)
+	v.c.Observer.RequestEnded(q, &res)
 	if res.Abort {
 		panic(http.ErrAbortHandler)
 	}
@@ -171,13 +171,13 @@
 	if c == nil {
 		return &relayer.Refusal{Status: http.StatusServiceUnavailable, Reason: "not run: no configuration is known yet", RetryAfter: unknownRetry}
 	}
-	q.Number = c.Number()
+	q.ConfigurationNumber = c.Number()
 	q.Route = c.Route(q.Host, q.Path)
 	if q.Route == nil {
 		return v.unknown(http.StatusNotFound, "no route for this host and path")
 	}
 	if !q.Route.Public && len(c.Organisations()) > 0 {
-		q.Organisation = c.Organisation(q.Key)
+		q.Organisation = c.Organisation(q.APIKey)
 		if q.Organisation == nil {
 			return v.unknown(http.StatusUnauthorized, "the key is missing or unknown")
 		}
@@ -242,8 +242,8 @@
 	v.c.Refuse(w.Header(), q.ID, res.Refusal.RetryAfter)
 	p := refusal.New(kinds[res.Status], res.Reason)
 	if res.Outcome == relayer.Unknown || res.Status == http.StatusGatewayTimeout {
-		p = p.With(refusal.Unknown)
+		p = p.WithOutcome(refusal.Unknown)
 	}
 	p.Write(w, q.ID)
-	v.c.Observer.Ended(q, res)
+	v.c.Observer.RequestEnded(q, res)
 }
--- a/internal/serve/receiver/receiver_test.go
+++ b/internal/serve/receiver/receiver_test.go
@@ -16,7 +16,7 @@
 // observer keeps the ends of requests.
 type observer struct{ ends []relayer.Result }
 
-func (o *observer) Ended(_ *request.Request, r *relayer.Result) { o.ends = append(o.ends, *r) }
+func (o *observer) RequestEnded(_ *request.Request, r *relayer.Result) { o.ends = append(o.ends, *r) }
 
 // A route is added, and a daemon hears of the configuration's number before it has the
 // configuration. Callers take a 404, or a 401 for a new key, as final and give up, though
@@ -44,7 +44,7 @@
 			receiver := New(Config{
 				Versioner: v, Observer: o,
 				Decode: func(r *http.Request, at time.Time) (*request.Request, error) {
-					return &request.Request{ID: "r-1", Received: at, Host: r.Host, Path: r.URL.Path, Key: c.key}, nil
+					return &request.Request{ID: "r-1", Received: at, Host: r.Host, Path: r.URL.Path, APIKey: c.key}, nil
 				},
 				Refuse: func(_ http.Header, _ identifier.Request, after time.Duration) { retry = after },
 			})
--- a/internal/serve/refusal/refusal.go
+++ b/internal/serve/refusal/refusal.go
@@ -104,14 +104,14 @@
 	}
 }
 
-// With sets the outcome.
-func (p *Problem) With(o Outcome) *Problem {
+// WithOutcome sets the outcome.
+func (p *Problem) WithOutcome(o Outcome) *Problem {
 	p.Outcome = o
 	return p
 }
 
-// After tells when to come back, rounded up to seconds.
-func (p *Problem) After(d time.Duration) *Problem {
+// WithRetryAfter tells when to come back, rounded up to seconds.
+func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	p.RetrySeconds = int(math.Ceil(max(d, time.Second).Seconds()))
 	return p
 }
--- a/internal/serve/relayer/attempt.go
+++ b/internal/serve/relayer/attempt.go
@@ -46,7 +46,7 @@
 	}()
 	begun, events := time.Now(), j.res.Events
 	outer := ctx
-	if run := j.run(pick); j.r.c.Versions.Sent(run) {
+	if run := j.run(pick); j.r.c.Versions.RunStarted(run) {
 		defer func() { j.ran(outer, run, pick, err, begun, j.res.Events-events) }()
 	}
 	ctx, waited := j.enter(ctx)
@@ -75,9 +75,9 @@
 	j.sends++
 	reply := j.r.c.Codec.DecodeReply(x.Status, x.Header)
 	if !reply.Misdirected {
-		j.r.c.Listener.Answered(j.q, pick, &reply, begun)
+		j.r.c.ReplyObserver.ObserveReply(j.q, pick, &reply, begun)
 		if d := delayer.Decode(x.Status, x.Header); d > 0 {
-			j.r.c.Listener.Rests(j.q, pick, d)
+			j.r.c.ReplyObserver.ObserveBackoff(j.q, pick, d)
 		}
 	}
 	if reply.NotRun {
@@ -155,7 +155,7 @@
 		// Connecting takes time; an endpoint that began to leave meanwhile must
 		// not get the request any more, nor any endpoint one that came to be held.
 		Ready: func() bool {
-			return j.r.c.Registry.Usable(pick) && !j.admit().Held && !j.r.c.Versions.Barred(j.q.Service, pick.Version) && j.r.c.Registry.Due(pick)
+			return j.r.c.Registry.Usable(pick) && !j.admit().Held && !j.r.c.Versions.Blocked(j.q.Service, pick.Version) && j.r.c.Registry.Due(pick)
 		},
 		Own: func(h http.Header) bool {
 			id := codec.DecodeReply(0, h).ID
@@ -168,7 +168,7 @@
 // take relays what an endpoint answered.
 func (j *job) take(ctx context.Context, x *sender.Exchange, reply *request.Reply, pick *registry.Pick, begun time.Time, heard func()) error {
 	success := reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices
-	if success && (!reply.Stamped || reply.Encoded || reply.ID != j.q.ID) {
+	if success && (!reply.Signed || reply.Encoded || reply.ID != j.q.ID) {
 		return fmt.Errorf("%w: not signed, encoded or of another request", sender.ErrBroken)
 	}
 	if success && j.q.Route.Kind == catalog.Streaming {
@@ -178,7 +178,7 @@
 	if err != nil || len(body) > maxAnswer {
 		return fmt.Errorf("%w: body cut after %d bytes", sender.ErrBroken, len(body))
 	}
-	if reply.Stamped {
+	if reply.Signed {
 		j.begin()
 	}
 	a := &answer{status: reply.Status, header: x.Header, body: body}
@@ -186,7 +186,7 @@
 		j.kept = a
 		return fmt.Errorf("%w: status %d", errFailed, reply.Status)
 	}
-	j.r.c.Placer.First(j.q, pick, time.Since(begun))
+	j.r.c.Placer.ObserveFirstEvent(j.q, pick, time.Since(begun))
 	return j.answer(a)
 }
 
@@ -195,7 +195,7 @@
 		return
 	}
 	j.began = true
-	j.r.c.Began(j.q)
+	j.r.c.OnBegin(j.q)
 }
 
 // answer sends a whole answer.
@@ -205,10 +205,10 @@
 		h[name] = values
 	}
 	h.Set("Content-Length", fmt.Sprint(len(a.body)))
-	j.res.Status, j.res.Outcome, j.res.First = a.status, Answered, time.Since(j.q.Received)
+	j.res.Status, j.res.Outcome, j.res.TimeToFirst = a.status, Answered, time.Since(j.q.Received)
 	j.w.WriteHeader(a.status)
 	if _, err := j.w.Write(a.body); err != nil {
-		j.res.Outcome = Gone
+		j.res.Outcome = ClientGone
 	}
 	return nil
 }
--- a/internal/serve/relayer/ending.go
+++ b/internal/serve/relayer/ending.go
@@ -15,7 +15,7 @@
 // final decides whether a failed attempt ends the request.
 func (j *job) final(ctx context.Context, err error) bool {
 	if errors.Is(err, errClient) || errors.Is(ctx.Err(), context.Canceled) {
-		j.res.Outcome, j.res.Reason, j.res.Abort = Gone, "the client left", true
+		j.res.Outcome, j.res.Reason, j.res.Abort = ClientGone, "the client left", true
 		return true
 	}
 	if ctx.Err() != nil {
@@ -50,10 +50,10 @@
 // timeUp ends a request whose time is over, or whose client left.
 func (j *job) timeUp(ctx context.Context) {
 	if errors.Is(ctx.Err(), context.Canceled) {
-		j.res.Outcome, j.res.Reason, j.res.Abort = Gone, "the client left", true
+		j.res.Outcome, j.res.Reason, j.res.Abort = ClientGone, "the client left", true
 		return
 	}
-	j.res.Outcome, j.res.Reason = Late, "the time was up"
+	j.res.Outcome, j.res.Reason = TimedOut, "the time was up"
 	switch {
 	case j.head:
 		j.res.Abort = true
@@ -69,7 +69,7 @@
 	j.res.Reason = reason
 	switch {
 	case j.head:
-		j.res.Outcome, j.res.Abort = Cut, true
+		j.res.Outcome, j.res.Abort = StreamCut, true
 	case j.kept != nil && !promises(j.kept.status):
 		_ = j.answer(j.kept)
 	case j.mayHaveRun:
--- a/internal/serve/relayer/holding.go
+++ b/internal/serve/relayer/holding.go
@@ -23,11 +23,11 @@
 // called when it has, or when the attempt has ended.
 func (j *job) enter(ctx context.Context) (withdrawable context.Context, waited func()) {
 	ctx, withdraw := context.WithCancelCause(ctx)
-	return ctx, j.r.c.Quarantine.Enter(j.q.Fingerprint(), func() { withdraw(errHeld) })
+	return ctx, j.r.c.Quarantine.Track(j.q.Fingerprint(), func() { withdraw(errHeld) })
 }
 
-// HeldRefusal is the answer to a request that is held and has not been sent.
-func HeldRefusal(v *quarantiner.Verdict) *Refusal {
+// QuarantineRefusal is the answer to a request that is held and has not been sent.
+func QuarantineRefusal(v *quarantiner.Verdict) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: "not run: " + heldReason(v), RetryAfter: v.RetryAfter}
 }
 
--- a/internal/serve/relayer/relayer.go
+++ b/internal/serve/relayer/relayer.go
@@ -89,45 +89,45 @@
 	Sender   *sender.Sender
 	Codec    Codec
 	Budget   Budget
-	// Began is told once of each request that began to run.
-	Began func(*request.Request)
+	// OnBegin is told once of each request that began to run.
+	OnBegin func(*request.Request)
 	// Demand is told of placed and refused requests.
 	Demand     Demand
 	Quarantine Quarantine
 	// Versions splits requests between versions of endpoints.
 	Versions Versions
-	// Listener is told what endpoints say of themselves.
-	Listener Listener
+	// ReplyObserver is told what endpoints say of themselves.
+	ReplyObserver ReplyObserver
 }
 
-// Listener hears what endpoints say of themselves in their answers.
-type Listener interface {
-	// Answered is told of the head of each answer to a request, and when that was sent.
-	Answered(q *request.Request, pick *registry.Pick, reply *request.Reply, sent time.Time)
-	// Rests is told for how long an endpoint wants nothing that turned a request away.
-	Rests(q *request.Request, pick *registry.Pick, d time.Duration)
+// ReplyObserver hears what endpoints say of themselves in their answers.
+type ReplyObserver interface {
+	// ObserveReply is told of the head of each answer to a request, and when that was sent.
+	ObserveReply(q *request.Request, pick *registry.Pick, reply *request.Reply, sent time.Time)
+	// ObserveBackoff is told for how long an endpoint wants nothing that turned a request away.
+	ObserveBackoff(q *request.Request, pick *registry.Pick, d time.Duration)
 }
 
 // Versions says which version of its service's endpoints a request may go to.
 type Versions interface {
 	Choose(a *splitter.Ask) selector.Versions
-	// Returned is asked where no endpoint that was chosen from can serve.
-	Returned(s identifier.Service, v *selector.Versions) selector.Versions
-	// Barred is asked right before each send.
-	Barred(s identifier.Service, v identifier.Version) bool
+	// Fallback is asked where no endpoint that was chosen from can serve.
+	Fallback(s identifier.Service, v *selector.Versions) selector.Versions
+	// Blocked is asked right before each send.
+	Blocked(s identifier.Service, v identifier.Version) bool
 	// Sent is told of each run, Ended of those that count.
-	Sent(r *splitter.Run) (counts bool)
-	Ended(r *splitter.Run)
+	RunStarted(r *splitter.Run) (counts bool)
+	RunEnded(r *splitter.Run)
 }
 
 // Quarantine keeps requests from endpoints that would end under them.
 type Quarantine interface {
 	// Admit decides right before each send.
 	Admit(f identifier.Fingerprint, id identifier.Request) quarantiner.Verdict
-	// Enter notes an attempt that withdraw ends, until leave is called.
-	Enter(f identifier.Fingerprint, withdraw func()) (leave func())
-	// Broke is told of each attempt that an endpoint broke off.
-	Broke(ctx context.Context, b *reporter.Break)
+	// Track notes an attempt that withdraw ends, until leave is called.
+	Track(f identifier.Fingerprint, withdraw func()) (leave func())
+	// ReportBreak is told of each attempt that an endpoint broke off.
+	ReportBreak(ctx context.Context, b *reporter.Break)
 	// Answered is told of each request that an endpoint has run to its end.
 	Answered(f identifier.Fingerprint)
 }
@@ -150,12 +150,12 @@
 	NotRun Outcome = "not-run"
 	// Unknown: it may have run, and there is no answer to give.
 	Unknown Outcome = "unknown"
-	// Cut: a stream broke off after its first event.
-	Cut Outcome = "cut"
-	// Gone: the client left.
-	Gone Outcome = "client-gone"
-	// Late: the time was up.
-	Late Outcome = "timeout"
+	// StreamCut: a stream broke off after its first event.
+	StreamCut Outcome = "cut"
+	// ClientGone: the client left.
+	ClientGone Outcome = "client-gone"
+	// TimedOut: the time was up.
+	TimedOut Outcome = "timeout"
 )
 
 // Attempt is one send, for the log and the explanation.
@@ -179,8 +179,8 @@
 	Refusal *Refusal
 	// Abort: the answer is incomplete, and the connection must end with it.
 	Abort bool
-	// First is the time to the first event, or to the answer.
-	First    time.Duration
+	// TimeToFirst is the time to the first event, or to the answer.
+	TimeToFirst    time.Duration
 	Events   int
 	Attempts []Attempt
 	Reason   string
@@ -242,7 +242,7 @@
 // Relay serves one request. ctx ends when the client leaves or the request's
 // time is up.
 func (r *Relayer) Relay(ctx context.Context, w http.ResponseWriter, q *request.Request, s *catalog.Service) Result {
-	j := &job{r: r, q: q, service: s, w: w, flush: http.NewResponseController(w).Flush, last: q.LastEvent}
+	j := &job{r: r, q: q, service: s, w: w, flush: http.NewResponseController(w).Flush, last: q.LastEventNumber}
 	for {
 		pick, stop := j.choose(ctx)
 		if stop {
@@ -259,7 +259,7 @@
 		}
 		if brokenOff(ctx, err) {
 			j.res.Fingerprint = q.Fingerprint()
-			r.c.Quarantine.Broke(ctx, &reporter.Break{Fingerprint: q.Fingerprint(), Request: q.ID, Pick: pick, Events: j.res.Events - events})
+			r.c.Quarantine.ReportBreak(ctx, &reporter.Break{Fingerprint: q.Fingerprint(), Request: q.ID, Pick: pick, Events: j.res.Events - events})
 		}
 		if j.final(ctx, err) {
 			return j.res
@@ -304,7 +304,7 @@
 
 // forecast decides whether a request that has not been sent would be served too late.
 func (j *job) forecast(pick *registry.Pick) forecaster.Verdict {
-	if !j.q.Sized || j.sends > 0 || j.unsent > 0 {
+	if !j.q.HasTokenCounts || j.sends > 0 || j.unsent > 0 {
 		return forecaster.Verdict{}
 	}
 	return forecaster.Decide(&forecaster.Input{
--- a/internal/serve/relayer/stream.go
+++ b/internal/serve/relayer/stream.go
@@ -47,7 +47,7 @@
 		if len(whole) > 0 {
 			heard()
 			if j.res.Events == 0 {
-				j.r.c.Placer.First(j.q, pick, time.Since(begun))
+				j.r.c.Placer.ObserveFirstEvent(j.q, pick, time.Since(begun))
 			}
 			if problem := j.pass(x, whole); problem != nil {
 				return problem
@@ -57,7 +57,7 @@
 		switch {
 		case errors.Is(err, io.EOF) && len(buffer) == 0 && j.head:
 			j.res.Outcome = Answered
-			j.r.c.Placer.Wrote(j.q, j.service, j.res.Events, time.Since(first))
+			j.r.c.Placer.ObserveStream(j.q, j.service, j.res.Events, time.Since(first))
 			return nil
 		case err != nil:
 			return fmt.Errorf("%w: after event %d: %w", sender.ErrBroken, j.last, err)
@@ -114,7 +114,7 @@
 		h[name] = values
 	}
 	j.head = true
-	j.res.Status, j.res.First = x.Status, time.Since(j.q.Received)
+	j.res.Status, j.res.TimeToFirst = x.Status, time.Since(j.q.Received)
 	j.w.WriteHeader(x.Status)
 }
 
--- a/internal/serve/relayer/version.go
+++ b/internal/serve/relayer/version.go
@@ -14,14 +14,14 @@
 // place chooses an endpoint of a version that the request may go to.
 func (j *job) place() (*registry.Pick, selector.Decision) {
 	v := j.r.c.Versions.Choose(&splitter.Ask{
-		Service: j.q.Service, Route: j.q.Route.Name, Again: j.asked, Lasts: j.r.c.Placer.Lasts(j.q),
+		Service: j.q.Service, Route: j.q.Route.Name, Again: j.asked, Lasts: j.r.c.Placer.MaxUsualDuration(j.q),
 	})
 	j.asked = true
 	pick, d := j.r.c.Placer.Place(j.q, j.service, j.tried, v)
 	if pick != nil || !v.Try {
 		return pick, d
 	}
-	return j.r.c.Placer.Place(j.q, j.service, j.tried, j.r.c.Versions.Returned(j.q.Service, &v))
+	return j.r.c.Placer.Place(j.q, j.service, j.tried, j.r.c.Versions.Fallback(j.q.Service, &v))
 }
 
 // run describes an attempt to whoever compares versions.
@@ -34,7 +34,7 @@
 // ran tells what came of an attempt. A client that left says nothing of the version, unless it
 // had waited for far too long.
 func (j *job) ran(outer context.Context, r *splitter.Run, pick *registry.Pick, err error, begun time.Time, events int) {
-	r.Took, r.Expected = time.Since(begun), j.r.c.Placer.Expected(j.q, j.service, pick, events)
+	r.Took, r.Expected = time.Since(begun), j.r.c.Placer.ExpectedDuration(j.q, j.service, pick, events)
 	switch {
 	case err == nil, errors.Is(outer.Err(), context.Canceled) && !unsent(err):
 		r.Outcome = splitter.Answered
@@ -44,5 +44,5 @@
 		errors.Is(err, sender.ErrLost), errors.Is(err, sender.ErrBroken):
 		r.Outcome = splitter.Failed
 	}
-	j.r.c.Versions.Ended(r)
+	j.r.c.Versions.RunEnded(r)
 }
--- a/internal/serve/request/request.go
+++ b/internal/serve/request/request.go
@@ -28,10 +28,10 @@
 type Request struct {
 	ID       identifier.Request
 	Received time.Time
-	// Patience is how long the client waits, as it said; 0 if it did not.
-	Patience time.Duration
+	// ClientTimeout is how long the client waits, as it said; 0 if it did not.
+	ClientTimeout time.Duration
 
-	Number       identifier.ConfigurationNumber
+	ConfigurationNumber       identifier.ConfigurationNumber
 	Route        *catalog.Route
 	Organisation *catalog.Organisation
 	Service      identifier.Service
@@ -41,7 +41,7 @@
 	Target string
 	Path   string
 	Host   string
-	Key    string
+	APIKey    string
 	// Header holds what is passed on unchanged.
 	Header http.Header
 	Body   []byte
@@ -51,11 +51,11 @@
 	Parts        []Part
 	PromptTokens identifier.Tokens
 	OutputTokens identifier.Tokens
-	// Sized: the client stated its tokens.
-	Sized bool
-	// LastEvent is the number of the last event that the client has; 0 for
+	// HasTokenCounts: the client stated its tokens.
+	HasTokenCounts bool
+	// LastEventNumber is the number of the last event that the client has; 0 for
 	// none.
-	LastEvent int
+	LastEventNumber int
 
 	fingerprint identifier.Fingerprint
 }
@@ -86,7 +86,7 @@
 
 // Deadline is when nobody waits for the answer any more.
 func (r *Request) Deadline() time.Time {
-	limit := r.Patience
+	limit := r.ClientTimeout
 	if r.Route != nil && r.Route.Timeout > 0 && (limit == 0 || r.Route.Timeout < limit) {
 		limit = r.Route.Timeout
 	}
@@ -115,7 +115,7 @@
 		return 0
 	case !r.Organisation.ByTokens:
 		return 1
-	case !r.Sized:
+	case !r.HasTokenCounts:
 		return float64(r.Organisation.PlainTokens)
 	}
 	return float64(r.PromptTokens + r.OutputTokens)
@@ -126,22 +126,22 @@
 	// ID is the request that the answer belongs to.
 	ID     identifier.Request
 	Status int
-	// Stamped: the answer bears the endpoint's signature.
-	Stamped bool
+	// Signed: the answer bears the endpoint's signature.
+	Signed bool
 	// NotRun: the endpoint states that the request did not run there.
 	// Misdirected: another endpoint has the address by now.
 	NotRun      bool
 	Misdirected bool
 	// Encoded: the body is encoded in a way that nobody asked for.
 	Encoded bool
-	// Leaving: the connection, and perhaps the endpoint, is about to end.
-	Leaving bool
-	// Departing: the endpoint says that it leaves.
-	Departing bool
+	// ConnectionClosing: the connection, and perhaps the endpoint, is about to end.
+	ConnectionClosing bool
+	// EndpointLeaving: the endpoint says that it leaves.
+	EndpointLeaving bool
 	// KeepAlive is how long the connection may stay idle; 0 if not said.
 	KeepAlive time.Duration
-	// Load: Running and Waiting are the endpoint's counts of requests.
-	Load    bool
+	// HasLoad: Running and Waiting are the endpoint's counts of requests.
+	HasLoad    bool
 	Running int
 	Waiting int
 	// Limit is how many requests a second the endpoint says that it takes.
@@ -152,6 +152,6 @@
 // daemons together.
 type Limit struct {
 	PerSecond float64
-	// Named: the answer names a limit. Unreadable: it names something that is none.
-	Named, Unreadable bool
+	// Present: the answer names a limit. Invalid: it names something that is none.
+	Present, Invalid bool
 }
--- a/internal/serve/streamer/active.go
+++ b/internal/serve/streamer/active.go
@@ -23,13 +23,13 @@
 	told  bool
 }
 
-// Frame passes a frame on.
-func (t *timed) Frame(f *frame.Frame) error {
+// WriteFrame passes a frame on.
+func (t *timed) WriteFrame(f *frame.Frame) error {
 	if !t.told {
 		t.told = true
 		t.s.c.Registry.Observe(t.pick, time.Since(t.begun))
 	}
-	return t.Sink.Frame(f)
+	return t.Sink.WriteFrame(f)
 }
 
 // enter lists an attempt for the sweep; the first sweep is made at once, as
@@ -55,9 +55,9 @@
 	}
 }
 
-// Sweep looks for streams whose engine has begun to leave. It is called after
+// ScheduleMoves looks for streams whose engine has begun to leave. It is called after
 // each change of the registry.
-func (s *Streamer) Sweep() {
+func (s *Streamer) ScheduleMoves() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for a := range s.active {
--- a/internal/serve/streamer/explain.go
+++ b/internal/serve/streamer/explain.go
@@ -8,8 +8,8 @@
 	"brasschute/internal/serve/recorder"
 )
 
-// Explain copies a decision into an attempt's record.
-func Explain(note *recorder.Attempt, d *selector.Decision) {
+// RecordDecision copies a decision into an attempt's record.
+func RecordDecision(note *recorder.Attempt, d *selector.Decision) {
 	x := d.Excluded
 	note.Excluded = fmt.Sprintf("%d leaving, %d ejected, %d full, %d in other zones, %d with another model, %d tried",
 		x.Leaving, x.Ejected, x.Full, x.Zone, x.Model, x.Tried)
@@ -33,8 +33,8 @@
 	}
 }
 
-// Seed returns the routing seed of a request.
-func Seed(id identifier.Request) uint64 {
+// RoutingSeed returns the routing seed of a request.
+func RoutingSeed(id identifier.Request) uint64 {
 	h := uint64(fnvOffset)
 	for i := range len(id) {
 		h = (h ^ uint64(id[i])) * fnvPrime
--- a/internal/serve/streamer/quarantine.go
+++ b/internal/serve/streamer/quarantine.go
@@ -15,22 +15,22 @@
 type Quarantine interface {
 	// Admit decides right before each send.
 	Admit(f identifier.Fingerprint, id identifier.Request) quarantiner.Verdict
-	// Broke is told of each attempt that an endpoint broke off.
-	Broke(ctx context.Context, b *reporter.Break)
+	// ReportBreak is told of each attempt that an endpoint broke off.
+	ReportBreak(ctx context.Context, b *reporter.Break)
 	// Answered is told of each request that an endpoint has run to its end.
 	Answered(f identifier.Fingerprint)
 }
 
-// Held returns the refusal of a call that must not be sent; nil if it may.
-func Held(q Quarantine, c *call.Call) *refusal.Problem {
+// QuarantineRefusal returns the refusal of a call that must not be sent; nil if it may.
+func QuarantineRefusal(q Quarantine, c *call.Call) *refusal.Problem {
 	v := q.Admit(c.Fingerprint(), c.Instance)
 	if !v.Held {
 		return nil
 	}
-	return refusal.New(refusal.Quarantined, "endpoints ended while they ran the same request").After(v.RetryAfter)
+	return refusal.New(refusal.Quarantined, "endpoints ended while they ran the same request").WithRetryAfter(v.RetryAfter)
 }
 
-// Broken describes a call that an endpoint broke off.
-func Broken(c *call.Call, pick *registry.Pick, brought int) *reporter.Break {
+// NewBreak describes a call that an endpoint broke off.
+func NewBreak(c *call.Call, pick *registry.Pick, brought int) *reporter.Break {
 	return &reporter.Break{Fingerprint: c.Fingerprint(), Request: c.Request, Pick: pick, Events: brought}
 }
--- a/internal/serve/streamer/query.go
+++ b/internal/serve/streamer/query.go
@@ -8,11 +8,11 @@
 	"brasschute/internal/serve/call"
 )
 
-// Query builds the routing question of a call.
-func Query(c *call.Call, zone identifier.AvailabilityZone, tried []identifier.Endpoint) selector.Query {
+// NewQuery builds the routing question of a call.
+func NewQuery(c *call.Call, zone identifier.AvailabilityZone, tried []identifier.Endpoint) selector.Query {
 	return selector.Query{
-		Now: time.Now(), Seed: Seed(c.Instance), Zone: zone, Zones: c.Zones, Model: c.Pool.Model,
-		PromptTokens: c.PromptTokens, Known: c.Known, Prefix: c.Conversation, OutputTokens: c.MaxTokens, MaxInFlight: c.Pool.MaxInFlight, Slots: c.Pool.Slots,
+		Now: time.Now(), Seed: RoutingSeed(c.Instance), Zone: zone, Zones: c.Zones, Model: c.Pool.Model,
+		PromptTokens: c.PromptTokens, Known: c.PriorTokens, Prefix: c.Conversation, OutputTokens: c.MaxTokens, MaxInFlight: c.Pool.MaxInFlight, Slots: c.Pool.Slots,
 		Prefill: c.Pool.PrefillPerSecond, Decode: c.Pool.DecodePerSecond,
 		Target: c.Plan.Configuration.Routing.FirstToken.Std(), RecomputeWeight: c.Plan.Configuration.Routing.RecomputeWeight,
 		Tried: tried,
--- a/internal/serve/streamer/streamer.go
+++ b/internal/serve/streamer/streamer.go
@@ -77,7 +77,7 @@
 // Sink receives the frames of an answer. An error means that the caller is
 // gone.
 type Sink interface {
-	Frame(f *frame.Frame) error
+	WriteFrame(f *frame.Frame) error
 }
 
 // Config names the streamer's collaborators.
@@ -154,7 +154,7 @@
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return ctx.Err()
 	}
-	return refusal.New(refusal.DeadlinePassed, "the deadline passed").With(j.outcome()).After(retryAfter)
+	return refusal.New(refusal.DeadlinePassed, "the deadline passed").WithOutcome(j.outcome()).WithRetryAfter(retryAfter)
 }
 
 // final decides whether a failed attempt ends the job; nil means to go on.
@@ -164,19 +164,19 @@
 		return problem
 	}
 	if !j.known() && !j.adopt {
-		return refusal.New(refusal.StreamLost, "the engine that held the stream is gone: "+err.Error()).With(refusal.Unknown)
+		return refusal.New(refusal.StreamLost, "the engine that held the stream is gone: "+err.Error()).WithOutcome(refusal.Unknown)
 	}
 	if j.attempts >= maxAttempts || !j.moving && !s.c.Budgeter.Spend() {
-		return refusal.New(refusal.EndpointFailed, err.Error()).With(j.outcome()).After(retryAfter)
+		return refusal.New(refusal.EndpointFailed, err.Error()).WithOutcome(j.outcome()).WithRetryAfter(retryAfter)
 	}
 	return nil
 }
 
 // attempt runs the job at one engine.
 func (s *Streamer) attempt(ctx context.Context, j *Job, sink Sink) error {
-	if held := Held(s.c.Quarantine, j.Call); held != nil {
+	if held := QuarantineRefusal(s.c.Quarantine, j.Call); held != nil {
 		s.free(j)
-		return held.With(j.outcome())
+		return held.WithOutcome(j.outcome())
 	}
 	pick, note, err := s.choose(j)
 	if err != nil {
@@ -202,7 +202,7 @@
 		result = s.notOpened(ctx, j, pick, &state, err)
 		note.Outcome = err.Error()
 		if state.State() == caller.MaybeSent && ctx.Err() == nil {
-			s.c.Quarantine.Broke(ctx, Broken(j.Call, pick, 0))
+			s.c.Quarantine.ReportBreak(ctx, NewBreak(j.Call, pick, 0))
 		}
 		return cause(ctx, err)
 	}
@@ -222,7 +222,7 @@
 	}
 	result = registry.Failed
 	if ctx.Err() == nil {
-		s.c.Quarantine.Broke(ctx, Broken(j.Call, pick, j.Offset-offset))
+		s.c.Quarantine.ReportBreak(ctx, NewBreak(j.Call, pick, j.Offset-offset))
 	}
 	s.broken(j, pick, err)
 	return err
@@ -254,7 +254,7 @@
 	j.returning = pick != nil
 	if pick == nil && j.adopt {
 		return nil, nil, refusal.New(refusal.EndpointFailed, "the request may have been sent, and its engine no longer answers").
-			With(refusal.Unknown).After(retryAfter)
+			WithOutcome(refusal.Unknown).WithRetryAfter(retryAfter)
 	}
 	if pick == nil {
 		var d selector.Decision
@@ -264,14 +264,14 @@
 			j.tried = nil
 			pick, d = s.c.Registry.Choose(s.query(j))
 		}
-		Explain(&note, &d)
+		RecordDecision(&note, &d)
 	}
 	if pick == nil && j.begun() {
 		return nil, nil, errNone
 	}
 	if pick == nil {
 		j.note(&note)
-		return nil, nil, refusal.New(refusal.NoEndpoint, "no endpoint can serve: "+note.Excluded).With(j.outcome()).After(retryAfter)
+		return nil, nil, refusal.New(refusal.NoEndpoint, "no endpoint can serve: "+note.Excluded).WithOutcome(j.outcome()).WithRetryAfter(retryAfter)
 	}
 	note.Endpoint = pick.Endpoint
 	return pick, j.note(&note), nil
@@ -304,7 +304,7 @@
 	c := j.Call
 	return &registry.Query{
 		Pool: c.Pool.Name, Blocks: c.Blocks,
-		Select: Query(c, s.c.Zone, j.tried),
+		Select: NewQuery(c, s.c.Zone, j.tried),
 	}
 }
 
@@ -326,7 +326,7 @@
 		}
 		stall.Reset(s.c.Stall)
 		s.take(j, f)
-		if err := sink.Frame(f); err != nil {
+		if err := sink.WriteFrame(f); err != nil {
 			return err
 		}
 	}
--- a/internal/serve/carrier/carrier.go
+++ b/internal/serve/transferrer/carrier.go
@@ -14,7 +14,7 @@
 //
 // An answer that waits for a witness may wait longer than any host lives, so
 // it is held on the platform; see Hold.
-package carrier
+package transferrer
 
 import (
 	"context"
@@ -60,8 +60,8 @@
 	Now() time.Time
 }
 
-// Held is an envelope as the platform holds it.
-type Held struct {
+// HeldAnswer is an envelope as the platform holds it.
+type HeldAnswer struct {
 	// AtUnix is the platform's time, in seconds; old answers are swept by it.
 	AtUnix   int64
 	Envelope []byte
@@ -75,8 +75,8 @@
 // New returns a carrier.
 func New(c Config) *Carrier { return &Carrier{c} }
 
-// Own returns this daemon's address as a holder.
-func (c *Carrier) Own() []netip.AddrPort {
+// SelfAddresses returns this daemon's address as a holder.
+func (c *Carrier) SelfAddresses() []netip.AddrPort {
 	a, err := netip.ParseAddrPort(c.c.Ledger.Self().PeerAddress)
 	if err != nil {
 		return nil
@@ -84,28 +84,28 @@
 	return []netip.AddrPort{a}
 }
 
-// Keep stores an envelope at this daemon.
-func (c *Carrier) Keep(e *rpc.Envelope) { c.c.Holder.Keep(e) }
+// StoreLocal stores an envelope at this daemon.
+func (c *Carrier) StoreLocal(e *rpc.Envelope) { c.c.Holder.Keep(e) }
 
 // Drop forgets a request whose answer has been delivered whole.
 func (c *Carrier) Drop(o identifier.Organisation, instance identifier.Request) {
 	c.c.Holder.Drop(o, instance)
 }
 
-// Hold stores an answer that waits for its witness: on the platform, since it
+// HoldAnswer stores an answer that waits for its witness: on the platform, since it
 // may have to outlast every host of the system; while the platform cannot take
 // it, at this daemon and at peers, which are returned.
-func (c *Carrier) Hold(ctx context.Context, e *rpc.Envelope) []netip.AddrPort {
+func (c *Carrier) HoldAnswer(ctx context.Context, e *rpc.Envelope) []netip.AddrPort {
 	raw, err := proto.Marshal(e)
 	if err == nil {
-		_, err = c.c.Store.Put(ctx, heldKey(e.Organisation, e.Request), object.Absent, Held{AtUnix: c.c.Store.Now().Unix(), Envelope: raw})
+		_, err = c.c.Store.Put(ctx, heldKey(e.Organisation, e.Request), object.Absent, HeldAnswer{AtUnix: c.c.Store.Now().Unix(), Envelope: raw})
 	}
 	// A conflict means that an earlier write with a lost answer stands.
 	if err == nil || errors.Is(err, object.ErrConflict) {
 		return nil
 	}
 	c.c.Holder.Keep(e)
-	return append(c.Own(), c.HandOver(ctx, e)...)
+	return append(c.SelfAddresses(), c.HandOver(ctx, e)...)
 }
 
 func heldKey(organisation, request string) string {
@@ -119,7 +119,7 @@
 	if err != nil {
 		return nil
 	}
-	var s Held
+	var s HeldAnswer
 	e := new(rpc.Envelope)
 	if json.Unmarshal(o.Value, &s) != nil || proto.Unmarshal(s.Envelope, e) != nil {
 		return nil
