--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -12,8 +12,8 @@
 
 	"github.com/integrii/flaggy"
 
-	"brasschute/internal/measure/result"
-	"brasschute/internal/measure/sender"
+	"brasschute/internal/measure/collector"
+	"brasschute/internal/measure/loadgenerator"
 	"brasschute/internal/measure/workload"
 )
 
@@ -26,9 +26,9 @@
 func main() { os.Exit(run(os.Args[1:])) }
 
 func run(args []string) int {
-	c := sender.Config{
-		Address: "127.0.0.1:8080", Model: "planning-model", Seed: 1, Length: defaultLength,
-		Requests: defaultRequests, Target: defaultTarget,
+	c := loadgenerator.Config{
+		Address: "127.0.0.1:8080", Model: "planning-model", Seed: 1, MaxDuration: defaultLength,
+		MaxRequests: defaultRequests, FirstTokenTarget: defaultTarget,
 	}
 	mix, rate, seed := "werkbrug", 0.0, 1
 	p := flaggy.NewParser("load")
@@ -39,9 +39,9 @@
 	p.String(&mix, "", "mix", "werkbrug or harrowby-trent")
 	p.Float64(&rate, "r", "rate", "requests a second; the mix's own if left out")
 	p.Int(&seed, "s", "seed", "seed of the workload")
-	p.Duration(&c.Length, "l", "length", "length of the run")
-	p.Int(&c.Requests, "n", "requests", "most requests of the run")
-	p.Duration(&c.Target, "t", "target", "latency target of the first token")
+	p.Duration(&c.MaxDuration, "l", "length", "length of the run")
+	p.Int(&c.MaxRequests, "n", "requests", "most requests of the run")
+	p.Duration(&c.FirstTokenTarget, "t", "target", "latency target of the first token")
 	if err := p.ParseArgs(args); err != nil {
 		fmt.Fprintln(os.Stderr, "load:", err)
 		return 2
@@ -53,13 +53,13 @@
 		return 2
 	}
 	if rate > 0 {
-		c.Mix.Rate = rate
+		c.Mix.RequestsPerSecond = rate
 	}
 	c.Seed = uint64(seed)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	s := sender.New(c).Run(ctx)
-	fmt.Printf("%s\n%s\n", result.Header, s.Row(c.Mix.Name))
+	s := loadgenerator.New(c).Run(ctx)
+	fmt.Printf("%s\n%s\n", collector.TableHeader, s.Row(c.Mix.Name))
 	for kind, n := range s.Refused {
 		fmt.Printf("refused %s: %d\n", kind, n)
 	}
--- a/integration/duties_test.go
+++ b/integration/duties_test.go
@@ -89,7 +89,7 @@
 	s.duties = `["usage"]`
 	s.engine(hosting.Config{ID: "i-app", Service: plainService})
 	n := 0
-	s.cloud.SetLose(func(string) bool { n++; return n%2 == 1 })
+	s.cloud.SetLoseAnswer(func(string) bool { n++; return n%2 == 1 })
 	h := s.host()
 	const requests = 12
 	for range requests {
@@ -145,8 +145,8 @@
 			}
 		})
 	}
-	if n := app.Arrived(); n != 0 {
-		t.Errorf("%d requests reached the engine: %+v", n, app.Runs())
+	if n := app.Received(); n != 0 {
+		t.Errorf("%d requests reached the engine: %+v", n, app.Executions())
 	}
 }
 
@@ -159,7 +159,7 @@
 		c.Tenants = append(c.Tenants, hostedOrganisation{Name: "free", ApiKeys: []string{"free-key"}})
 	})
 	s.engine(hosting.Config{ID: "i-app", Service: plainService})
-	lm := s.engine(hosting.Config{ID: "i-lm", Service: modelService, Events: 10})
+	lm := s.engine(hosting.Config{ID: "i-lm", Service: modelService, StreamLength: 10})
 	s.configure(func(c *hostedConfig) { c.Routes[0].Resumable = false })
 	h := s.host()
 	t.Run("refused for quota", func(t *testing.T) {
@@ -173,7 +173,7 @@
 		h.explained(t, id, "not-run", "quota", "a second")
 	})
 	t.Run("cut by an engine", func(t *testing.T) {
-		lm.Behave(func(*http.Request) hosting.Behaviour { return hosting.Break })
+		lm.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.TruncateAnswer })
 		if a := h.send(hostedRequest{ID: "cut", Target: streamPath, Key: "free-key"}); a.err == nil {
 			t.Fatalf("answer: %+v", a)
 		}
@@ -181,7 +181,7 @@
 	})
 	t.Run("a daemon that knows nothing yet", func(t *testing.T) {
 		lost := newSite(t)
-		lost.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Busy })
+		lost.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Unavailable })
 		alone := lost.unready()
 		eventually(t, "an answer", func() error {
 			return want("status", alone.send(hostedRequest{ID: "early", Target: onceTarget, Key: deskKey}).status, http.StatusServiceUnavailable)
--- a/integration/examples_test.go
+++ b/integration/examples_test.go
@@ -8,7 +8,7 @@
 
 	"brasschute/internal/config/compiler"
 	"brasschute/internal/config/settings"
-	"brasschute/internal/measure/sender"
+	"brasschute/internal/measure/loadgenerator"
 	"brasschute/internal/measure/workload"
 )
 
@@ -65,10 +65,10 @@
 	// answered whole.
 	_, d := small(t)
 	mix := workload.Werkbrug()
-	mix.Rate = 200
-	s := sender.New(sender.Config{
-		Address: d.callers, Key: callerKeys["desk"], Model: "letters", Mix: mix, Seed: 1, Length: time.Minute, Requests: 60,
-		Target: time.Minute,
+	mix.RequestsPerSecond = 200
+	s := loadgenerator.New(loadgenerator.Config{
+		Address: d.callers, Key: callerKeys["desk"], Model: "letters", Mix: mix, Seed: 1, MaxDuration: time.Minute, MaxRequests: 60,
+		FirstTokenTarget: time.Minute,
 	}).Run(t.Context())
 	if s.Answered != 60 || len(s.Refused) != 0 {
 		t.Fatalf("%+v", s)
--- a/integration/gateway_test.go
+++ b/integration/gateway_test.go
@@ -18,7 +18,7 @@
 
 func TestHostedRequestsAreServed(t *testing.T) {
 	s := newSite(t)
-	lm := s.engine(hosting.Config{ID: "i-lm", Service: modelService, Events: 12})
+	lm := s.engine(hosting.Config{ID: "i-lm", Service: modelService, StreamLength: 12})
 	app := s.engine(hosting.Config{ID: "i-app", Service: plainService})
 	h := s.host()
 	stream := h.send(hostedRequest{Target: streamPath + "a?b=c", Key: deskKey, Body: "text", Header: map[string]string{"Token-Count": "100,24"}})
@@ -28,12 +28,12 @@
 	if got := stream.header.Get("Response-Stamp"); got != "stamp-i-lm" {
 		t.Errorf("signature %q", got)
 	}
-	run := lm.Runs()[0]
+	run := lm.Executions()[0]
 	if run.Tenant != deskName || run.Target != streamPath+"a?b=c" || run.Body != "text" || run.Header.Get("Authorization") != "" {
 		t.Errorf("run: %+v", run)
 	}
 	plain := h.send(hostedRequest{Target: onceTarget, Key: deskKey})
-	if plain.err != nil || plain.body != app.Text() {
+	if plain.err != nil || plain.body != app.AnswerBody() {
 		t.Errorf("plain: %+v", plain)
 	}
 }
@@ -43,7 +43,7 @@
 // daemon's to set. None of them may reach an engine as the client wrote it.
 func TestHeadersOfTheDaemonCannotBeForged(t *testing.T) {
 	s := newSite(t)
-	lm := s.engine(hosting.Config{ID: "i-lm", Service: modelService, Events: 1})
+	lm := s.engine(hosting.Config{ID: "i-lm", Service: modelService, StreamLength: 1})
 	h := s.host()
 	forged := []string{"Tenant", "Hold", "Pin-Ms", "Kv-From", "Kv-Backup", "Kv-Fetch", "Expect-Instance", "Expect-Version", "Request-Urgency"}
 	header := map[string]string{"Connection": "X-Private", "X-Private": "forged", "X-Kept": "kept"}
@@ -53,7 +53,7 @@
 	if a := h.send(hostedRequest{Target: streamPath, Key: deskKey, Header: header}); a.status != http.StatusOK {
 		t.Fatalf("answer: %+v", a)
 	}
-	run := lm.Runs()[0]
+	run := lm.Executions()[0]
 	for _, name := range append(forged, "X-Private") {
 		if run.Header.Get(name) == "forged" {
 			t.Errorf("the engine got %s from the client", name)
@@ -90,7 +90,7 @@
 			}
 		})
 	}
-	if n := app.Arrived(); n != 0 {
+	if n := app.Received(); n != 0 {
 		t.Errorf("%d refused requests reached the engine", n)
 	}
 }
@@ -108,12 +108,12 @@
 		{hosting.Refuse, "refused", http.StatusOK, 1},
 		{hosting.Misdirect, "address taken over", http.StatusOK, 1},
 		{hosting.Fail, "failed", http.StatusInternalServerError, 1},
-		{hosting.Drop, "answer lost", http.StatusBadGateway, 1},
-		{hosting.Break, "answer cut", http.StatusBadGateway, 1},
-		{hosting.Unsigned, "not signed", http.StatusBadGateway, 1},
-		{hosting.Encoded, "encoded", http.StatusBadGateway, 1},
-		{hosting.Unframed, "no length", http.StatusOK, 1},
-		{hosting.Foreign, "late answer of another request first", http.StatusOK, 1},
+		{hosting.CloseUnanswered, "answer lost", http.StatusBadGateway, 1},
+		{hosting.TruncateAnswer, "answer cut", http.StatusBadGateway, 1},
+		{hosting.OmitSignature, "not signed", http.StatusBadGateway, 1},
+		{hosting.EncodeUnasked, "encoded", http.StatusBadGateway, 1},
+		{hosting.OmitLength, "no length", http.StatusOK, 1},
+		{hosting.AnswerWrongRequest, "late answer of another request first", http.StatusOK, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -127,14 +127,14 @@
 				}
 				return hosting.Serve
 			}
-			second.Behave(once)
-			other.Behave(once)
+			second.SetBehaviour(once)
+			other.SetBehaviour(once)
 			h := s.host()
 			a := h.send(hostedRequest{Target: onceTarget, Key: deskKey})
 			if a.status != c.status {
 				t.Errorf("status %d (%v) %q, want %d", a.status, a.err, a.body, c.status)
 			}
-			if runs := len(second.Runs()) + len(other.Runs()); runs != c.runs {
+			if runs := len(second.Executions()) + len(other.Executions()); runs != c.runs {
 				t.Errorf("%d runs, want %d", runs, c.runs)
 			}
 		})
@@ -144,11 +144,11 @@
 // A lookup may be repeated: whatever one engine does to it, the other's answer
 // reaches the client.
 func TestLookupsAreRepeated(t *testing.T) {
-	for _, how := range []hosting.Behaviour{hosting.Refuse, hosting.Fail, hosting.Drop, hosting.Break, hosting.Unsigned, hosting.Encoded} {
+	for _, how := range []hosting.Behaviour{hosting.Refuse, hosting.Fail, hosting.CloseUnanswered, hosting.TruncateAnswer, hosting.OmitSignature, hosting.EncodeUnasked} {
 		t.Run(fmt.Sprint(how), func(t *testing.T) {
 			s := newSite(t)
 			bad := s.engine(hosting.Config{ID: "i-bad", Service: plainService})
-			bad.Behave(func(*http.Request) hosting.Behaviour { return how })
+			bad.SetBehaviour(func(*http.Request) hosting.Behaviour { return how })
 			s.engine(hosting.Config{ID: "i-good", Service: plainService})
 			h := s.host()
 			for range 6 {
@@ -191,14 +191,14 @@
 func TestSecondAnswersReachNobody(t *testing.T) {
 	s := newSite(t)
 	app := s.engine(hosting.Config{ID: "i-app", Service: plainService})
-	app.Behave(func(*http.Request) hosting.Behaviour { return hosting.Twice })
+	app.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.AnswerTwice })
 	h := s.host()
 	for range 10 {
-		if a := h.send(hostedRequest{Target: onceTarget, Key: deskKey}); a.body != app.Text() {
+		if a := h.send(hostedRequest{Target: onceTarget, Key: deskKey}); a.body != app.AnswerBody() {
 			t.Fatalf("answer: %+v", a)
 		}
 	}
-	if n := len(app.Runs()); n != 10 {
+	if n := len(app.Executions()); n != 10 {
 		t.Errorf("%d runs of ten requests", n)
 	}
 }
@@ -211,18 +211,18 @@
 		t.Run(fmt.Sprintf("resumable %v", resumable), func(t *testing.T) {
 			s := newSite(t)
 			s.configure(func(c *hostedConfig) { c.Routes[0].Resumable = resumable })
-			bad := s.engine(hosting.Config{ID: "i-bad", Service: modelService, Events: 10})
+			bad := s.engine(hosting.Config{ID: "i-bad", Service: modelService, StreamLength: 10})
 			broken := false
 			breakOnce := func(*http.Request) hosting.Behaviour {
 				if broken {
 					return hosting.Serve
 				}
 				broken = true
-				return hosting.Break
+				return hosting.TruncateAnswer
 			}
-			bad.Behave(breakOnce)
-			good := s.engine(hosting.Config{ID: "i-good", Service: modelService, Events: 10})
-			good.Behave(breakOnce)
+			bad.SetBehaviour(breakOnce)
+			good := s.engine(hosting.Config{ID: "i-good", Service: modelService, StreamLength: 10})
+			good.SetBehaviour(breakOnce)
 			h := s.host()
 			a := h.send(hostedRequest{Target: streamPath, Key: deskKey})
 			if resumable && (a.err != nil || a.body != streamText(10)) {
@@ -231,7 +231,7 @@
 			if !resumable && (a.err == nil || !strings.HasPrefix(streamText(10), a.body)) {
 				t.Fatalf("answer: %+v", a)
 			}
-			if runs := len(bad.Runs()) + len(good.Runs()); resumable && runs != 2 || !resumable && runs != 1 {
+			if runs := len(bad.Executions()) + len(good.Executions()); resumable && runs != 2 || !resumable && runs != 1 {
 				t.Errorf("%d runs", runs)
 			}
 		})
@@ -243,13 +243,13 @@
 func TestEnginesLearnThatTheClientLeft(t *testing.T) {
 	s := newSite(t)
 	app := s.engine(hosting.Config{ID: "i-app", Service: plainService})
-	app.Behave(func(*http.Request) hosting.Behaviour { return hosting.Hold })
+	app.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.HoldUntilRelease })
 	h := s.host()
 	c := dialHost(t, h)
 	fmt.Fprintf(c, "POST %s HTTP/1.1\r\nHost: %s\r\nRequest-Id: leaver\r\nAuthorization: Bearer %s\r\nContent-Length: 0\r\n\r\n", onceTarget, hostedDomain, deskKey)
-	eventually(t, "the engine works", func() error { return want("held", app.Holding(), 1) })
+	eventually(t, "the engine works", func() error { return want("held", app.HeldCount(), 1) })
 	_ = c.Close()
-	eventually(t, "the engine learns", func() error { return want("held", app.Holding(), 0) })
+	eventually(t, "the engine learns", func() error { return want("held", app.HeldCount(), 0) })
 }
 
 // The store drops its history while watches are open: they stay open and hear
@@ -276,7 +276,7 @@
 // other's clients at once, and the first one's only if the daemons tell each
 // other: keys that were taken away would go on to work there.
 func TestDaemonsTellEachOther(t *testing.T) {
-	for name, fault := range map[string]hosting.Fault{"busy": hosting.Busy, "many": hosting.Many, "reset": hosting.Reset, "silent": hosting.Silent} {
+	for name, fault := range map[string]hosting.Fault{"busy": hosting.Unavailable, "many": hosting.TooManyRequests, "reset": hosting.ResetConnection, "silent": hosting.NeverAnswer} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t)
 			app := s.engine(hosting.Config{ID: "i-1", Service: plainService})
@@ -286,7 +286,7 @@
 				if c.Caller == b.name {
 					return fault
 				}
-				return hosting.None
+				return hosting.NoFault
 			})
 			s.configure(func(c *hostedConfig) { c.Tenants[0].ApiKeys = []string{"new-key"} })
 			for _, h := range []*gatewayHost{a, b} {
@@ -303,13 +303,13 @@
 				}
 				return fmt.Errorf("%s does not know that i-1 leaves", b.name)
 			})
-			before := app.Arrived()
+			before := app.Received()
 			for range 10 {
 				if got := b.send(hostedRequest{Target: onceTarget, Key: "new-key"}); got.status != http.StatusOK {
 					t.Fatalf("answer: %+v", got)
 				}
 			}
-			if got := app.Arrived(); got != before {
+			if got := app.Received(); got != before {
 				t.Errorf("%d requests reached the leaving engine", got-before)
 			}
 		})
@@ -322,7 +322,7 @@
 func TestStartWithoutTheStore(t *testing.T) {
 	s := newSite(t)
 	s.engine(hosting.Config{ID: "i-app", Service: plainService})
-	s.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Busy })
+	s.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Unavailable })
 	alone := s.unready()
 	eventually(t, "answers", func() error {
 		return want("status", alone.send(hostedRequest{Target: onceTarget, Key: deskKey}).status, http.StatusServiceUnavailable)
@@ -332,7 +332,7 @@
 	}
 	s.store.SetFault(nil)
 	alone.awaitReady()
-	s.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Reset })
+	s.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.ResetConnection })
 	second := s.host()
 	if a := second.send(hostedRequest{Target: onceTarget, Key: deskKey}); a.status != http.StatusOK {
 		t.Errorf("answer: %+v", a)
@@ -375,13 +375,13 @@
 	if _, closing := exchange(t, kept, once("before")); closing {
 		t.Fatal("the connection closes before the stop")
 	}
-	app.Behave(func(*http.Request) hosting.Behaviour { return hosting.Hold })
+	app.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.HoldUntilRelease })
 	held := make(chan hostedAnswer, 1)
 	go func() { held <- h.send(hostedRequest{Target: onceTarget, Key: deskKey}) }()
-	eventually(t, "the engine works", func() error { return want("held", app.Holding(), 1) })
+	eventually(t, "the engine works", func() error { return want("held", app.HeldCount(), 1) })
 	h.signal(syscall.SIGTERM)
 	eventually(t, "not ready", func() error { return h.ready(http.StatusServiceUnavailable) })
-	app.Behave(func(*http.Request) hosting.Behaviour { return hosting.Serve })
+	app.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.Serve })
 	if status, closing := exchange(t, kept, once("after")); status != http.StatusOK || !closing {
 		t.Errorf("kept connection: status %d, closing %v", status, closing)
 	}
@@ -400,7 +400,7 @@
 func TestSilentEngines(t *testing.T) {
 	s := newSite(t)
 	dark := s.engine(hosting.Config{ID: "i-dark", Service: plainService})
-	dark.Behave(func(*http.Request) hosting.Behaviour { return hosting.Hold })
+	dark.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.HoldUntilRelease })
 	s.engine(hosting.Config{ID: "i-good", Service: plainService})
 	h := s.host()
 	for range 6 {
@@ -408,7 +408,7 @@
 			t.Fatalf("answer: %+v", a)
 		}
 	}
-	eventually(t, "nobody waits at the dark engine", func() error { return want("held", dark.Holding(), 0) })
+	eventually(t, "nobody waits at the dark engine", func() error { return want("held", dark.HeldCount(), 0) })
 }
 
 // Nobody reads a daemon's standard output: the pipe is full after a few lines.
@@ -457,24 +457,24 @@
 // the other engine, and the new process serves as soon as it is listed.
 func TestEngineThatStartsAgainUnderItsID(t *testing.T) {
 	s := newSite(t)
-	e := s.engine(hosting.Config{ID: "i-1", Service: plainService, Born: 1000})
+	e := s.engine(hosting.Config{ID: "i-1", Service: plainService, StartedUnixMilli: 1000})
 	held := true
-	e.Behave(func(*http.Request) hosting.Behaviour {
+	e.SetBehaviour(func(*http.Request) hosting.Behaviour {
 		if held {
-			return hosting.Hold
+			return hosting.HoldUntilRelease
 		}
 		return hosting.Serve
 	})
 	h := s.host()
 	answer := make(chan hostedAnswer)
 	go func() { answer <- h.send(hostedRequest{ID: "posting", Target: onceTarget, Key: deskKey}) }()
-	eventually(t, "the engine works on the posting", func() error { return want("held", e.Holding(), 1) })
+	eventually(t, "the engine works on the posting", func() error { return want("held", e.HeldCount(), 1) })
 	held = false
 	e.Restart()
 	if a := <-answer; a.status != http.StatusBadGateway {
 		t.Errorf("status %d %q, whether the posting has run is not known", a.status, a.body)
 	}
-	if runs := len(e.Runs()); runs != 1 {
+	if runs := len(e.Executions()); runs != 1 {
 		t.Errorf("%d runs of the posting", runs)
 	}
 	s.store.Write(platform.EndpointKind, "i-1", e.Record("ready"))
--- a/integration/hosted_test.go
+++ b/integration/hosted_test.go
@@ -172,7 +172,7 @@
 	s.t.Helper()
 	s.next++
 	h := &gatewayHost{s: s, name: fmt.Sprintf("front-%d", s.next), ip: fmt.Sprintf("127.%d.%d.%d", 200+s.number>>8, s.number&0xff, s.next)}
-	h.storeAt = s.serve(s.store.For(h.name))
+	h.storeAt = s.serve(s.store.HandlerFor(h.name))
 	h.file = filepath.Join(s.t.TempDir(), "boot.toml")
 	h.writeSettings("")
 	s.hosts = append(s.hosts, h)
@@ -257,14 +257,14 @@
 }
 
 // beliefs asks a daemon what it believes.
-func (h *gatewayHost) beliefs(t testing.TB) gateway.Beliefs {
+func (h *gatewayHost) beliefs(t testing.TB) gateway.View {
 	t.Helper()
-	resp, err := h.s.client.Get("http://" + h.ip + ":7600" + gateway.BeliefsPath)
+	resp, err := h.s.client.Get("http://" + h.ip + ":7600" + gateway.ViewPath)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	var b gateway.Beliefs
+	var b gateway.View
 	if err := json.NewDecoder(resp.Body).Decode(&b); err != nil {
 		t.Fatal(err)
 	}
@@ -349,7 +349,7 @@
 func streamText(to int) string {
 	var b strings.Builder
 	for n := 1; n <= to; n++ {
-		b.WriteString(hosting.Event(n))
+		b.WriteString(hosting.EventText(n))
 	}
 	return b.String()
 }
--- a/integration/quarantine_test.go
+++ b/integration/quarantine_test.go
@@ -32,10 +32,10 @@
 	if err != nil {
 		m.s.t.Fatal(err)
 	}
-	e := hosting.NewEngine(hosting.Config{ID: id, Service: service, Events: events, Zone: "hall-a", Address: l.Addr().String(), Born: 1000})
+	e := hosting.NewEngine(hosting.Config{ID: id, Service: service, StreamLength: events, Zone: "hall-a", Address: l.Addr().String(), StartedUnixMilli: 1000})
 	server := &http.Server{Handler: e}
 	m.s.t.Cleanup(func() { _ = server.Close() })
-	e.Behave(func(r *http.Request) hosting.Behaviour {
+	e.SetBehaviour(func(r *http.Request) hosting.Behaviour {
 		if r.Header.Get(endsEngines) == "" {
 			return hosting.Serve
 		}
@@ -47,7 +47,7 @@
 		syscall.ForkLock.RLock()
 		defer syscall.ForkLock.RUnlock()
 		_ = server.Close()
-		return hosting.Drop
+		return hosting.CloseUnanswered
 	})
 	go func() { _ = server.Serve(l) }()
 	m.s.store.Write(platform.EndpointKind, id, e.Record("ready"))
--- a/integration/repair_test.go
+++ b/integration/repair_test.go
@@ -66,7 +66,7 @@
 	f.addController(2, "controller-2")
 	d.repaired(3)
 	f.faults(platform.Faults{RefuseStarts: []string{"zone-1/reclaimable"}})
-	f.post("http://"+f.admin+"/admin/waves", platform.Wave{AvailabilityZone: "zone-1", Deadline: time.Now().Add(3 * time.Second)})
+	f.post("http://"+f.admin+"/admin/waves", platform.ReclaimWave{AvailabilityZone: "zone-1", Deadline: time.Now().Add(3 * time.Second)})
 	eventually(t, "seen", func() error {
 		s, err := d.status()
 		if err != nil {
@@ -131,7 +131,7 @@
 	d.mustApply(wanting(2), 0)
 	f.addController(1, "controller-1")
 	d.repaired(2)
-	f.post("http://"+f.admin+"/admin/waves", platform.Wave{AvailabilityZone: "zone-1", Deadline: time.Now().Add(time.Second)})
+	f.post("http://"+f.admin+"/admin/waves", platform.ReclaimWave{AvailabilityZone: "zone-1", Deadline: time.Now().Add(time.Second)})
 	f.faults(platform.Faults{Outage: true})
 	eventually(t, "outage seen", func() error {
 		s, err := d.status()
--- a/integration/soak_test.go
+++ b/integration/soak_test.go
@@ -67,8 +67,8 @@
 
 // behaviours are those of engines; most requests are served.
 var behaviours = []hosting.Behaviour{
-	hosting.Refuse, hosting.Misdirect, hosting.Fail, hosting.Drop, hosting.Break, hosting.Twice, hosting.Unsigned,
-	hosting.Encoded, hosting.Unframed, hosting.Foreign, hosting.Hold,
+	hosting.Refuse, hosting.Misdirect, hosting.Fail, hosting.CloseUnanswered, hosting.TruncateAnswer, hosting.AnswerTwice, hosting.OmitSignature,
+	hosting.EncodeUnasked, hosting.OmitLength, hosting.AnswerWrongRequest, hosting.HoldUntilRelease,
 }
 
 func runSoak(t *testing.T, seed uint64) {
@@ -76,9 +76,9 @@
 	s.fail = func(format string, args ...any) { t.Errorf("seed %d: "+format, append([]any{seed}, args...)...) }
 	s.duties = `["usage"]`
 	for n, c := range []hosting.Config{
-		{ID: "i-lm-1", Service: modelService, Events: 12, Born: 1000},
-		{ID: "i-lm-2", Service: modelService, Events: 12, Born: 1000},
-		{ID: "i-app-1", Service: plainService, Born: 1000},
+		{ID: "i-lm-1", Service: modelService, StreamLength: 12, StartedUnixMilli: 1000},
+		{ID: "i-lm-2", Service: modelService, StreamLength: 12, StartedUnixMilli: 1000},
+		{ID: "i-app-1", Service: plainService, StartedUnixMilli: 1000},
 		{ID: "i-app-2", Service: plainService},
 	} {
 		s.proxied(c, seed*10+uint64(n))
@@ -121,7 +121,7 @@
 	s.proxyOf[c.ID] = p.Address()
 	s.list(c.ID, "ready")
 	r, mu := rand.New(rand.NewPCG(seed, 1)), new(sync.Mutex)
-	e.Behave(func(*http.Request) hosting.Behaviour {
+	e.SetBehaviour(func(*http.Request) hosting.Behaviour {
 		mu.Lock()
 		defer mu.Unlock()
 		if r.IntN(6) > 0 {
@@ -285,12 +285,12 @@
 
 // hurtStore makes the store misbehave for some hosts, or drop its history.
 func (s *soak) hurtStore(r *rand.Rand) {
-	faults := []hosting.Fault{hosting.Busy, hosting.Many, hosting.Lost, hosting.Reset, hosting.Silent}
+	faults := []hosting.Fault{hosting.Unavailable, hosting.TooManyRequests, hosting.LoseAnswer, hosting.ResetConnection, hosting.NeverAnswer}
 	fault := faults[r.IntN(len(faults))]
 	some := r.IntN(3)
 	s.store.SetFault(func(c hosting.Call) hosting.Fault {
-		if some < 2 && !strings.HasSuffix(c.Caller, fmt.Sprint(some+1)) || fault == hosting.Lost && c.Method == http.MethodGet {
-			return hosting.None
+		if some < 2 && !strings.HasSuffix(c.Caller, fmt.Sprint(some+1)) || fault == hosting.LoseAnswer && c.Method == http.MethodGet {
+			return hosting.NoFault
 		}
 		return fault
 	})
@@ -338,7 +338,7 @@
 func (s *soak) check() {
 	runs := make(map[string]int)
 	for _, e := range s.engines {
-		for _, run := range e.Runs() {
+		for _, run := range e.Executions() {
 			runs[run.Request]++
 			if run.Tenant != deskName {
 				s.fail("%s ran for %q", run.Request, run.Tenant)
--- a/integration/stream_test.go
+++ b/integration/stream_test.go
@@ -11,13 +11,13 @@
 	"sync"
 
 	"brasschute/internal/engine/frame"
-	"brasschute/internal/standin/textmaker"
+	"brasschute/internal/standin/textgenerator"
 )
 
 const question = "Which bonds mature this week, and what did their members choose?"
 
 // expected is the text that the stand-in engines make for the question.
-func expected(tokens int) string { return textmaker.New(question).Text(0, tokens) }
+func expected(tokens int) string { return textgenerator.New(question).Text(0, tokens) }
 
 func chat(tokens int, stream bool) string {
 	return fmt.Sprintf(`{"model":"letters","stream":%t,"max_tokens":%d,"messages":[{"role":"user","content":%q}]}`,
--- a/internal/engine/sender/sender_test.go
+++ b/internal/engine/sender/sender_test.go
@@ -52,11 +52,11 @@
 	s, opened := newSender(t)
 	address := serve(t, e)
 	for range 5 {
-		if body, err := exchange(t, s, message(address, "r-1")); err != nil || body != e.Text() {
+		if body, err := exchange(t, s, message(address, "r-1")); err != nil || body != e.AnswerBody() {
 			t.Fatalf("%q, %v", body, err)
 		}
 	}
-	run := e.Runs()[0]
+	run := e.Executions()[0]
 	if run.Target != "/x/a%2Fb?c=%20" || run.Body != "body" || run.Header.Get("User-Agent") != "" {
 		t.Errorf("run %+v", run)
 	}
@@ -100,7 +100,7 @@
 		t.Errorf("nobody listens: %v", err)
 	}
 	dropping := hosting.NewEngine(hosting.Config{ID: "i-1"})
-	dropping.Behave(func(*http.Request) hosting.Behaviour { return hosting.Drop })
+	dropping.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.CloseUnanswered })
 	if _, err := exchange(t, s, message(serve(t, dropping), "r")); !errors.Is(err, ErrLost) {
 		t.Errorf("no answer: %v", err)
 	}
@@ -152,7 +152,7 @@
 	if err := <-done; !errors.Is(err, ErrWithdrawn) {
 		t.Errorf("error %v", err)
 	}
-	if n := e.Arrived(); n != 0 {
+	if n := e.Received(); n != 0 {
 		t.Errorf("%d requests reached the leaving engine", n)
 	}
 }
--- a/internal/measure/result/result.go
+++ b/internal/measure/collector/result.go
@@ -13,7 +13,7 @@
 //	r := result.New(330 * time.Millisecond)
 //	r.Add(result.Sample{...})
 //	fmt.Println(r.Row("ours"))
-package result
+package collector
 
 import (
 	"fmt"
@@ -34,17 +34,17 @@
 type Sample struct {
 	Organisation identifier.Organisation
 	FirstToken   time.Duration
-	// Between holds the longest pause between two tokens.
-	Between    time.Duration
+	// MaxTokenGap holds the longest pause between two tokens.
+	MaxTokenGap    time.Duration
 	Cost       float64
-	Recomputed identifier.Tokens
-	Prompt     identifier.Tokens
+	RecomputedTokens identifier.Tokens
+	PromptTokens     identifier.Tokens
 	// Refused is the kind of refusal, empty if answered.
 	Refused string
 }
 
-// Result adds samples up. It is safe for concurrent use.
-type Result struct {
+// Collector adds samples up. It is safe for concurrent use.
+type Collector struct {
 	target time.Duration
 
 	mu         sync.Mutex
@@ -60,8 +60,8 @@
 }
 
 // New returns an empty result for a latency target.
-func New(target time.Duration) *Result {
-	return &Result{
+func New(target time.Duration) *Collector {
+	return &Collector{
 		target: target, first: histogram(), between: histogram(), refused: make(map[string]int),
 		byOrg: make(map[identifier.Organisation]*hdrhistogram.Histogram),
 	}
@@ -70,7 +70,7 @@
 func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, highest, figures) }
 
 // Add takes in one sample.
-func (r *Result) Add(s Sample) {
+func (r *Collector) Add(s Sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cost += s.Cost
@@ -83,13 +83,13 @@
 		r.inTarget++
 	}
 	_ = r.first.RecordValue(max(s.FirstToken.Microseconds(), 1))
-	_ = r.between.RecordValue(max(s.Between.Microseconds(), 1))
+	_ = r.between.RecordValue(max(s.MaxTokenGap.Microseconds(), 1))
 	if r.byOrg[s.Organisation] == nil {
 		r.byOrg[s.Organisation] = histogram()
 	}
 	_ = r.byOrg[s.Organisation].RecordValue(max(s.FirstToken.Microseconds(), 1))
-	r.recomputed += s.Recomputed
-	r.prompt += s.Prompt
+	r.recomputed += s.RecomputedTokens
+	r.prompt += s.PromptTokens
 }
 
 // Summary is what a run came to.
@@ -105,7 +105,7 @@
 
 // Summary returns the sums so far. CostPerThousand is for a thousand requests
 // in target.
-func (r *Result) Summary() Summary {
+func (r *Collector) Summary() Summary {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	const thousand = 1000
@@ -117,8 +117,8 @@
 	}
 }
 
-// P95 returns the 95th percentile of an organisation's first tokens.
-func (r *Result) P95(o identifier.Organisation) time.Duration {
+// FirstTokenP95 returns the 95th percentile of an organisation's first tokens.
+func (r *Collector) FirstTokenP95(o identifier.Organisation) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.byOrg[o] == nil {
@@ -131,8 +131,8 @@
 	return time.Duration(h.ValueAtPercentile(percent)) * time.Microsecond
 }
 
-// Header is the head of a table of rows.
-const Header = "| policy | answered | in target | p50 | p95 | p99 | between p95 | cost/1000 in target | recomputed tokens | of prompt | refused |\n" +
+// TableHeader is the head of a table of rows.
+const TableHeader = "| policy | answered | in target | p50 | p95 | p99 | between p95 | cost/1000 in target | recomputed tokens | of prompt | refused |\n" +
 	"|---|---|---|---|---|---|---|---|---|---|---|"
 
 // Row formats a summary as a row of a Markdown table.
--- a/internal/measure/experiment/experiment_test.go
+++ b/internal/measure/experiment/experiment_test.go
@@ -28,7 +28,7 @@
 	"brasschute/internal/engine/report"
 	"brasschute/internal/measure/baseline"
 	"brasschute/internal/measure/plotter"
-	"brasschute/internal/measure/result"
+	"brasschute/internal/measure/collector"
 	"brasschute/internal/measure/workload"
 	"brasschute/internal/peer/ledger"
 	"brasschute/internal/peer/reporter"
@@ -107,7 +107,7 @@
 	daemons []*daemon
 	plan    *compiler.Plan
 	pool    *document.Pool
-	result  *result.Result
+	result  *collector.Collector
 	// rand chooses daemons, losses which cache events are lost: each is used
 	// by one goroutine.
 	rand   *rand.Rand
@@ -168,7 +168,7 @@
 }
 
 func newBench(t *testing.T, s setup, policy string, seed uint64) *bench {
-	b := &bench{s: s, policy: policy, seed: seed, gone: make(map[string]bool), result: result.New(firstToken), rand: rand.New(rand.NewPCG(seed, 3)), losses: rand.New(rand.NewPCG(seed, 4))}
+	b := &bench{s: s, policy: policy, seed: seed, gone: make(map[string]bool), result: collector.New(firstToken), rand: rand.New(rand.NewPCG(seed, 3)), losses: rand.New(rand.NewPCG(seed, 4))}
 	for i := range engines {
 		b.addEngine(i)
 	}
@@ -383,32 +383,32 @@
 
 func (b *bench) send(d *daemon, n int, r workload.Request) {
 	service, _ := b.plan.Service("s")
-	body, _ := json.Marshal(map[string]any{"model": "s", "stream": true, "max_tokens": r.Output, "prompt": r.Prompt})
+	body, _ := json.Marshal(map[string]any{"model": "s", "stream": true, "max_tokens": r.OutputTokens, "prompt": r.Prompt})
 	c := &call.Call{
 		Request: identifier.Request(fmt.Sprint(n)), Instance: identifier.Request(fmt.Sprintf("%d~%d", n, b.seed)), Received: time.Now(),
 		Plan: b.plan, Service: service, Pool: b.pool, Body: body, Prompt: r.Prompt, Blocks: prefix.Blocks(nil, r.Prompt),
-		PromptTokens: prefix.Tokens(len(r.Prompt)), MaxTokens: r.Output, PriorTokens: r.Known, Conversation: r.Conversation, Streaming: true,
+		PromptTokens: prefix.Tokens(len(r.Prompt)), MaxTokens: r.OutputTokens, PriorTokens: r.PriorTokens, Conversation: r.Conversation, Streaming: true,
 	}
 	rec := &recorder.Record{}
 	out := &sink{begun: time.Now()}
 	err := d.streamer.Run(context.Background(), &streamer.Job{Call: c, Record: rec}, out)
-	sample := result.Sample{Organisation: r.Organisation, FirstToken: out.first, Between: out.between, Cost: rec.Cost, Prompt: c.PromptTokens}
+	sample := collector.Sample{Organisation: r.Organisation, FirstToken: out.first, MaxTokenGap: out.between, Cost: rec.Cost, PromptTokens: c.PromptTokens}
 	var problem *refusal.Problem
 	if errors.As(err, &problem) {
 		sample.Refused = string(problem.Kind())
 	}
-	known := r.Known / prefix.BlockTokens * prefix.BlockTokens
-	sample.Recomputed = max(known-out.usage.CachedTokens, 0)
+	known := r.PriorTokens / prefix.BlockTokens * prefix.BlockTokens
+	sample.RecomputedTokens = max(known-out.usage.CachedTokens, 0)
 	if rec.RecomputedTokens > 0 {
-		sample.Recomputed = rec.RecomputedTokens
+		sample.RecomputedTokens = rec.RecomputedTokens
 	}
 	b.result.Add(sample)
 }
 
 // run carries one experiment through and returns its summary.
-func run(t *testing.T, s setup, policy string, sc scenario, seed uint64, length time.Duration) result.Summary {
+func run(t *testing.T, s setup, policy string, sc scenario, seed uint64, length time.Duration) collector.Summary {
 	t.Helper()
-	var out result.Summary
+	var out collector.Summary
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, s, policy, seed)
 		ctx, cancel := context.WithCancel(context.Background())
@@ -459,7 +459,7 @@
 	for _, s := range setups() {
 		d := newDrawing(s.mix.Name)
 		for _, sc := range []scenario{steady, slowOne, reclaim} {
-			fmt.Fprintf(out, "\n%s, %s, seed %d, %s\n\n%s\n", s.mix.Name, sc, *seedFlag, *longFlag, result.Header)
+			fmt.Fprintf(out, "\n%s, %s, seed %d, %s\n\n%s\n", s.mix.Name, sc, *seedFlag, *longFlag, collector.TableHeader)
 			for _, p := range policies() {
 				sum := run(t, s, p, sc, *seedFlag, *longFlag)
 				fmt.Fprintln(out, sum.Row(p))
@@ -481,7 +481,7 @@
 	return &drawing{user: user, cost: make(map[string][]float64), lost: make(map[string][]float64)}
 }
 
-func (d *drawing) add(policy string, s *result.Summary) {
+func (d *drawing) add(policy string, s *collector.Summary) {
 	d.cost[policy] = append(d.cost[policy], s.CostPerThousand)
 	d.lost[policy] = append(d.lost[policy], float64(s.Recomputed))
 }
--- a/internal/measure/experiment/fairness_test.go
+++ b/internal/measure/experiment/fairness_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/measure/result"
+	"brasschute/internal/measure/collector"
 	"brasschute/internal/route/limiter"
 )
 
@@ -28,7 +28,7 @@
 	t.Helper()
 	synctest.Test(t, func(*testing.T) {
 		l := limiter.New()
-		r := result.New(time.Second)
+		r := collector.New(time.Second)
 		var group sync.WaitGroup
 		for o := range 5 {
 			rate := 0.6 * fairLimit / fairService.Seconds()
@@ -38,13 +38,13 @@
 			group.Go(func() { send(l, r, identifier.Organisation(fmt.Sprint(o)), rate, uint64(o)) })
 		}
 		group.Wait()
-		p95 = r.P95("1")
+		p95 = r.FirstTokenP95("1")
 		refused = r.Summary().Refused["over"]
 	})
 	return p95, refused
 }
 
-func send(l *limiter.Limiter, r *result.Result, o identifier.Organisation, rate float64, seed uint64) {
+func send(l *limiter.Limiter, r *collector.Collector, o identifier.Organisation, rate float64, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 9))
 	end := time.Now().Add(fairLength)
 	var group sync.WaitGroup
@@ -57,12 +57,12 @@
 			defer cancel()
 			release, err := l.Acquire(ctx, &limiter.Ticket{Organisation: o, Pool: "p", Limit: fairLimit, Queue: 20, Slots: fairSlots})
 			if err != nil {
-				r.Add(result.Sample{Organisation: o, Refused: "over"})
+				r.Add(collector.Sample{Organisation: o, Refused: "over"})
 				return
 			}
 			time.Sleep(service)
 			release()
-			r.Add(result.Sample{Organisation: o, FirstToken: time.Since(begun)})
+			r.Add(collector.Sample{Organisation: o, FirstToken: time.Since(begun)})
 		})
 	}
 	group.Wait()
--- a/internal/measure/sender/sender.go
+++ b/internal/measure/loadgenerator/sender.go
@@ -16,7 +16,7 @@
 //
 //	s := sender.New(sender.Config{Address: "127.0.0.1:8080", Key: key, Model: "planning-model", Mix: workload.Werkbrug()})
 //	result := s.Run(ctx)
-package sender
+package loadgenerator
 
 import (
 	"bufio"
@@ -33,7 +33,7 @@
 	"brasschute/internal/core/waiter"
 	"brasschute/internal/engine/frame"
 	"brasschute/internal/engine/prefix"
-	"brasschute/internal/measure/result"
+	"brasschute/internal/measure/collector"
 	"brasschute/internal/measure/workload"
 )
 
@@ -47,36 +47,36 @@
 	Model   string
 	Mix     workload.Mix
 	Seed    uint64
-	// Length and Requests bound the run.
-	Length   time.Duration
-	Requests int
-	// Target is the latency target of the first token.
-	Target time.Duration
+	// MaxDuration and Requests bound the run.
+	MaxDuration   time.Duration
+	MaxRequests int
+	// FirstTokenTarget is the latency target of the first token.
+	FirstTokenTarget time.Duration
 }
 
-// Sender sends one workload.
-type Sender struct {
+// Generator sends one workload.
+type Generator struct {
 	c      Config
 	client http.Client
-	result *result.Result
+	result *collector.Collector
 }
 
 // New returns a sender.
-func New(c Config) *Sender {
-	return &Sender{
-		c: c, result: result.New(c.Target),
+func New(c Config) *Generator {
+	return &Generator{
+		c: c, result: collector.New(c.FirstTokenTarget),
 		client: http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxUnderWay}},
 	}
 }
 
 // Run sends until the bounds are reached or ctx ends, and waits for the
 // answers.
-func (s *Sender) Run(ctx context.Context) result.Summary {
+func (s *Generator) Run(ctx context.Context) collector.Summary {
 	w := workload.New(s.c.Mix, s.c.Seed)
 	slots := make(chan struct{}, maxUnderWay)
 	var group sync.WaitGroup
-	end := time.Now().Add(s.c.Length)
-	for n := 0; n < s.c.Requests && time.Now().Before(end) && ctx.Err() == nil; n++ {
+	end := time.Now().Add(s.c.MaxDuration)
+	for n := 0; n < s.c.MaxRequests && time.Now().Before(end) && ctx.Err() == nil; n++ {
 		r := w.Next()
 		waiter.For(ctx, r.Pause)
 		select {
@@ -86,7 +86,7 @@
 				<-slots
 			})
 		default:
-			s.result.Add(result.Sample{Organisation: r.Organisation, Refused: "not sent"})
+			s.result.Add(collector.Sample{Organisation: r.Organisation, Refused: "not sent"})
 		}
 	}
 	group.Wait()
@@ -108,15 +108,15 @@
 // messages splits a prompt into what earlier turns sent and the new question,
 // with an empty answer between them, by which a daemon knows a later turn.
 func messages(r *workload.Request) []message {
-	known := int(r.Known) * prefix.BytesPerToken
+	known := int(r.PriorTokens) * prefix.BytesPerToken
 	if known == 0 || known >= len(r.Prompt) {
 		return []message{{"user", r.Prompt}}
 	}
 	return []message{{"user", r.Prompt[:known]}, {"assistant", ""}, {"user", r.Prompt[known:]}}
 }
 
-func (s *Sender) send(ctx context.Context, r *workload.Request) {
-	payload, err := json.Marshal(&body{Model: s.c.Model, Stream: true, MaxTokens: r.Output, Messages: messages(r)})
+func (s *Generator) send(ctx context.Context, r *workload.Request) {
+	payload, err := json.Marshal(&body{Model: s.c.Model, Stream: true, MaxTokens: r.OutputTokens, Messages: messages(r)})
 	if err != nil {
 		return
 	}
@@ -126,7 +126,7 @@
 	}
 	q.Header.Set("Authorization", "Bearer "+s.c.Key)
 	begun := time.Now()
-	sample := result.Sample{Organisation: r.Organisation, Prompt: prefix.Tokens(len(r.Prompt))}
+	sample := collector.Sample{Organisation: r.Organisation, PromptTokens: prefix.Tokens(len(r.Prompt))}
 	resp, err := s.client.Do(q)
 	if err != nil {
 		sample.Refused = "no answer"
@@ -144,7 +144,7 @@
 }
 
 // read follows a stream to its end mark.
-func (s *Sender) read(lines *bufio.Scanner, begun time.Time, r *workload.Request, sample *result.Sample) {
+func (s *Generator) read(lines *bufio.Scanner, begun time.Time, r *workload.Request, sample *collector.Sample) {
 	last := begun
 	sample.Refused = "truncated"
 	for lines.Scan() {
@@ -160,13 +160,13 @@
 		if sample.FirstToken == 0 {
 			sample.FirstToken = now.Sub(begun)
 		} else {
-			sample.Between = max(sample.Between, now.Sub(last))
+			sample.MaxTokenGap = max(sample.MaxTokenGap, now.Sub(last))
 		}
 		last = now
 		var f frame.Frame
 		if json.Unmarshal([]byte(data), &f) == nil && f.Usage != nil {
-			known := r.Known / prefix.BlockTokens * prefix.BlockTokens
-			sample.Recomputed = max(known-f.Usage.CachedTokens, f.Usage.RecomputedTokens, 0)
+			known := r.PriorTokens / prefix.BlockTokens * prefix.BlockTokens
+			sample.RecomputedTokens = max(known-f.Usage.CachedTokens, f.Usage.RecomputedTokens, 0)
 		}
 	}
 }
--- a/internal/measure/workload/workload.go
+++ b/internal/measure/workload/workload.go
@@ -32,23 +32,23 @@
 // Mix describes a user's requests. Lengths are in tokens, as least and most.
 type Mix struct {
 	Name          string
-	Organisations []Share
-	// Rate is in requests a second.
-	Rate float64
-	// Preamble is common to all conversations.
-	Preamble int
-	// History opens a conversation; Turn is added with each request.
-	History [2]int
-	Turn    [2]int
-	Output  [2]int
+	Organisations []OrganisationShare
+	// RequestsPerSecond is in requests a second.
+	RequestsPerSecond float64
+	// PreambleTokens is common to all conversations.
+	PreambleTokens int
+	// HistoryTokens opens a conversation; Turn is added with each request.
+	HistoryTokens [2]int
+	TurnTokens    [2]int
+	OutputTokens  [2]int
 	Turns   [2]int
-	// Long is the share of conversations with LongHistory instead.
-	Long        float64
-	LongHistory [2]int
+	// LongShare is the share of conversations with LongHistory instead.
+	LongShare        float64
+	LongHistoryTokens [2]int
 }
 
-// Share is one organisation's part of the requests.
-type Share struct {
+// OrganisationShare is one organisation's part of the requests.
+type OrganisationShare struct {
 	Name   identifier.Organisation
 	Weight float64
 }
@@ -56,18 +56,18 @@
 // HarrowbyTrent is the renewals desk in maturity week.
 func HarrowbyTrent() Mix {
 	return Mix{
-		Name: "Harrowby & Trent", Rate: 9, Preamble: 160, History: [2]int{500, 1800}, Turn: [2]int{30, 120},
-		Output: [2]int{40, 140}, Turns: [2]int{3, 8},
-		Organisations: []Share{{"renewals-desk", 5}, {"contact-centre", 3}, {"branches", 2}, {"member-notices", 1}, {"compliance", 0.5}},
+		Name: "Harrowby & Trent", RequestsPerSecond: 9, PreambleTokens: 160, HistoryTokens: [2]int{500, 1800}, TurnTokens: [2]int{30, 120},
+		OutputTokens: [2]int{40, 140}, Turns: [2]int{3, 8},
+		Organisations: []OrganisationShare{{"renewals-desk", 5}, {"contact-centre", 3}, {"branches", 2}, {"member-notices", 1}, {"compliance", 0.5}},
 	}
 }
 
 // Werkbrug is an ordinary working hour.
 func Werkbrug() Mix {
 	return Mix{
-		Name: "Werkbrug", Rate: 40, Preamble: 96, History: [2]int{20, 120}, Turn: [2]int{10, 50},
-		Output: [2]int{10, 50}, Turns: [2]int{1, 4}, Long: 0.1, LongHistory: [2]int{600, 1500},
-		Organisations: []Share{{"pickers-agency", 4}, {"loaders-agency", 4}, {"forklift-agency", 1}, {"events-agency", 1}, {"flex-workers", 5}},
+		Name: "Werkbrug", RequestsPerSecond: 40, PreambleTokens: 96, HistoryTokens: [2]int{20, 120}, TurnTokens: [2]int{10, 50},
+		OutputTokens: [2]int{10, 50}, Turns: [2]int{1, 4}, LongShare: 0.1, LongHistoryTokens: [2]int{600, 1500},
+		Organisations: []OrganisationShare{{"pickers-agency", 4}, {"loaders-agency", 4}, {"forklift-agency", 1}, {"events-agency", 1}, {"flex-workers", 5}},
 	}
 }
 
@@ -79,9 +79,9 @@
 	Prompt       string
 	// Conversation is a hash that the turns of a conversation share.
 	Conversation uint64
-	Output       identifier.Tokens
-	// Known are the prompt tokens that an earlier turn already sent.
-	Known identifier.Tokens
+	OutputTokens       identifier.Tokens
+	// PriorTokens are the prompt tokens that an earlier turn already sent.
+	PriorTokens identifier.Tokens
 }
 
 type conversation struct {
@@ -94,8 +94,8 @@
 	ready time.Duration
 }
 
-// Workload makes requests. It is for one goroutine.
-type Workload struct {
+// Generator makes requests. It is for one goroutine.
+type Generator struct {
 	mix      Mix
 	rand     *rand.Rand
 	preamble string
@@ -111,14 +111,14 @@
 )
 
 // New returns a workload of a mix.
-func New(m Mix, seed uint64) *Workload {
-	w := &Workload{mix: m, rand: rand.New(rand.NewPCG(seed, 1))}
-	w.preamble = w.text(m.Preamble)
+func New(m Mix, seed uint64) *Generator {
+	w := &Generator{mix: m, rand: rand.New(rand.NewPCG(seed, 1))}
+	w.preamble = w.text(m.PreambleTokens)
 	return w
 }
 
 // text returns random text of a number of tokens.
-func (w *Workload) text(tokens int) string {
+func (w *Generator) text(tokens int) string {
 	var b strings.Builder
 	for b.Len() < tokens*prefix.BytesPerToken {
 		fmt.Fprintf(&b, "%06x ", w.rand.IntN(1<<24))
@@ -126,20 +126,20 @@
 	return b.String()[:tokens*prefix.BytesPerToken]
 }
 
-func (w *Workload) between(bounds [2]int) int {
+func (w *Generator) between(bounds [2]int) int {
 	return bounds[0] + w.rand.IntN(bounds[1]-bounds[0]+1)
 }
 
 // Next returns the next request.
-func (w *Workload) Next() Request {
-	pause := time.Duration(w.rand.ExpFloat64() / w.mix.Rate * float64(time.Second))
+func (w *Generator) Next() Request {
+	pause := time.Duration(w.rand.ExpFloat64() / w.mix.RequestsPerSecond * float64(time.Second))
 	w.now += pause
 	c := w.conversation()
-	c.text += w.text(w.between(w.mix.Turn))
+	c.text += w.text(w.between(w.mix.TurnTokens))
 	c.ready = w.now + leastThink + time.Duration(w.rand.Int64N(int64(spreadThink)))
 	r := Request{
 		Pause:        pause,
-		Organisation: c.organisation, Prompt: c.text, Conversation: c.hash, Output: identifier.Tokens(w.between(w.mix.Output)), Known: prefix.Tokens(c.known),
+		Organisation: c.organisation, Prompt: c.text, Conversation: c.hash, OutputTokens: identifier.Tokens(w.between(w.mix.OutputTokens)), PriorTokens: prefix.Tokens(c.known),
 	}
 	c.known = len(c.text)
 	c.left--
@@ -150,15 +150,15 @@
 }
 
 // conversation returns an open conversation, or a new one.
-func (w *Workload) conversation() *conversation {
+func (w *Generator) conversation() *conversation {
 	if w.rand.Float64() < w.again() {
 		if c := w.waiting(); c != nil {
 			return c
 		}
 	}
-	history := w.mix.History
-	if w.rand.Float64() < w.mix.Long {
-		history = w.mix.LongHistory
+	history := w.mix.HistoryTokens
+	if w.rand.Float64() < w.mix.LongShare {
+		history = w.mix.LongHistoryTokens
 	}
 	c := &conversation{organisation: w.organisation(), text: w.preamble + w.text(w.between(history)), left: w.between(w.mix.Turns)}
 	c.hash = xxhash.Sum64String(c.text)
@@ -167,7 +167,7 @@
 }
 
 // waiting returns the conversation whose caller has waited longest, or nil.
-func (w *Workload) waiting() *conversation {
+func (w *Generator) waiting() *conversation {
 	var first *conversation
 	for _, c := range w.open {
 		if c.ready <= w.now && (first == nil || c.ready < first.ready) {
@@ -178,12 +178,12 @@
 }
 
 // again is the share of requests that are not the first of a conversation.
-func (w *Workload) again() float64 {
+func (w *Generator) again() float64 {
 	turns := float64(w.mix.Turns[0]+w.mix.Turns[1]) / 2
 	return 1 - 1/turns
 }
 
-func (w *Workload) close(c *conversation) {
+func (w *Generator) close(c *conversation) {
 	for i := range w.open {
 		if w.open[i] == c {
 			w.open = append(w.open[:i], w.open[i+1:]...)
@@ -192,7 +192,7 @@
 	}
 }
 
-func (w *Workload) organisation() identifier.Organisation {
+func (w *Generator) organisation() identifier.Organisation {
 	sum := 0.0
 	for _, o := range w.mix.Organisations {
 		sum += o.Weight
--- a/internal/ops/commander/commander.go
+++ b/internal/ops/commander/commander.go
@@ -280,7 +280,7 @@
 	defer lines.Flush()
 	go func() { _ = lines.Serve(context.WithoutCancel(ctx)) }()
 	g, err := gateway.New(gateway.Config{
-		Deployment: d, Read: func() (*deployment.Deployment, error) { return platform.ReadDeployment(path) }, Hint: hint,
+		Deployment: d, ReadDeployment: func() (*deployment.Deployment, error) { return platform.ReadDeployment(path) }, Reload: hint,
 		Logger: logger.New(logger.Config{Level: "info", Format: "json", Output: lines, Host: string(d.Host)}),
 	})
 	if err != nil {
@@ -291,5 +291,5 @@
 
 // checkSettings reads a settings file as a daemon would at its start.
 func (k *Commander) demo(ctx context.Context) error {
-	return demonstrator.New(demonstrator.Config{Output: k.c.Output, Log: k.c.Errors, Keep: k.keep}).Run(ctx)
+	return demonstrator.New(demonstrator.Config{Output: k.c.Output, Log: k.c.Errors, KeepServing: k.keep}).Run(ctx)
 }
--- a/internal/ops/commander/hosted.go
+++ b/internal/ops/commander/hosted.go
@@ -27,7 +27,7 @@
 
 // beliefs prints what a gateway believes.
 func (k *Commander) beliefs(ctx context.Context) error {
-	return k.askGateway(ctx, http.MethodGet, gateway.BeliefsPath, http.StatusOK)
+	return k.askGateway(ctx, http.MethodGet, gateway.ViewPath, http.StatusOK)
 }
 
 // lift clears a request at a gateway, which tells the others.
--- a/internal/role/demonstrator/demonstrator.go
+++ b/internal/role/demonstrator/demonstrator.go
@@ -61,8 +61,8 @@
 	Output io.Writer
 	// Log receives the daemon's log lines.
 	Log io.Writer
-	// Keep serves on until the context ends.
-	Keep bool
+	// KeepServing serves on until the context ends.
+	KeepServing bool
 }
 
 // Demonstrator runs the demonstration.
@@ -94,7 +94,7 @@
 	if err := d.show(ctx); err != nil {
 		return err
 	}
-	if d.c.Keep {
+	if d.c.KeepServing {
 		d.invite()
 		<-ctx.Done()
 	}
--- a/internal/role/gateway/beliefs.go
+++ b/internal/role/gateway/beliefs.go
@@ -15,11 +15,11 @@
 	"brasschute/internal/route/splitter"
 )
 
-// BeliefsPath is where the metrics' listener tells what the daemon believes.
-const BeliefsPath = "/beliefs"
+// ViewPath is where the metrics' listener tells what the daemon believes.
+const ViewPath = "/beliefs"
 
-// Beliefs is what a daemon takes for true, with the age or version of each.
-type Beliefs struct {
+// View is what a daemon takes for true, with the age or version of each.
+type View struct {
 	Host          identifier.Host
 	Configuration identifier.ConfigurationNumber
 	// NewerConfiguration is the number that others were heard to have, for
@@ -34,13 +34,13 @@
 	Fencing      uint64
 	// Part says how the daemon hears of the others: pair, member or relay.
 	Part      string
-	Peers     []PeerBelief
-	Endpoints []EndpointBelief
+	Peers     []PeerView
+	Endpoints []EndpointView
 	Quotas    map[identifier.Organisation]allotter.Account
 	Demands   map[identifier.Service]demander.Demand
 	// Rollouts are the orders that are known, OrdersKnown whether they have been read or
 	// heard of at all.
-	Rollouts    []RolloutBelief
+	Rollouts    []RolloutView
 	OrdersKnown bool
 	// Quarantine lists the requests under which endpoints ended, those that are held first;
 	// Forgotten counts those for which there was no room.
@@ -50,8 +50,8 @@
 	Limits []pacer.Limit
 }
 
-// RolloutBelief is the roll-out of a service as the daemon sees it.
-type RolloutBelief struct {
+// RolloutView is the roll-out of a service as the daemon sees it.
+type RolloutView struct {
 	Service identifier.Service
 	Target  identifier.Version
 	Order   string
@@ -68,9 +68,9 @@
 	Tallies   []splitter.Tally
 }
 
-// PeerBelief is a daemon that is known. Configuration and HoldsDuties are told by daemons
+// PeerView is a daemon that is known. Configuration and HoldsDuties are told by daemons
 // that are heard directly, AgeMS is since a daemon was heard of.
-type PeerBelief struct {
+type PeerView struct {
 	Host          string
 	Zone          identifier.AvailabilityZone
 	Address       string
@@ -81,8 +81,8 @@
 	HoldsDuties   bool
 }
 
-// EndpointBelief is an endpoint as the daemon sees it.
-type EndpointBelief struct {
+// EndpointView is an endpoint as the daemon sees it.
+type EndpointView struct {
 	Endpoint identifier.Endpoint
 	Service  identifier.Pool
 	Zone     identifier.AvailabilityZone
@@ -101,7 +101,7 @@
 // beliefs answers with the daemon's beliefs as JSON.
 func (g *Gateway) beliefs(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
-	b := Beliefs{
+	b := View{
 		Host: g.c.Deployment.Host, FollowsStore: g.follows(), StoreAgeMS: -1,
 		Quotas: g.allotter.Accounts(), Demands: g.demander.Demands(), Part: g.part().String(),
 		Quarantine: g.quarantine.List(), Forgotten: g.quarantine.Forgotten(),
@@ -122,7 +122,7 @@
 	}
 	direct := g.gatherer.Latest(now)
 	for _, d := range g.roster.All(now) {
-		p := PeerBelief{
+		p := PeerView{
 			Host: string(d.Host), Zone: d.Zone, Address: d.Address, AgeMS: now.Sub(d.Heard()).Milliseconds(),
 			Relaying: d.Relaying, Observing: d.Observing,
 		}
@@ -132,7 +132,7 @@
 		b.Peers = append(b.Peers, p)
 	}
 	for _, c := range g.registry.Endpoints() {
-		b.Endpoints = append(b.Endpoints, EndpointBelief{
+		b.Endpoints = append(b.Endpoints, EndpointView{
 			Endpoint: c.Endpoint, Service: c.Pool, Zone: c.AvailabilityZone, Leaving: c.Leaving, Ejected: c.Ejected(now),
 			Failures: c.Failures, InFlight: c.InFlight, Busy: c.Busy, Slow: c.Slow,
 			RestsMS: max(c.RestsUntil.Sub(now), 0).Milliseconds(),
@@ -146,10 +146,10 @@
 	}
 }
 
-func (g *Gateway) rolloutBeliefs() (out []RolloutBelief) {
+func (g *Gateway) rolloutBeliefs() (out []RolloutView) {
 	now, tallies := g.uptime(), g.splitter.Tallies()
 	for _, o := range g.splitter.Orders() {
-		r := RolloutBelief{
+		r := RolloutView{
 			Service: o.Service, Target: o.Target, Order: orderName(o.Order()), Phase: o.Phase.String(), Stored: o.Stored.String(),
 			SinceMS: now.Sub(o.Since).Milliseconds(), GrantMS: -1, Asked: o.Asked, Earned: o.Earned, Endpoints: g.versions(o.Service),
 		}
@@ -170,7 +170,7 @@
 func (g *Gateway) metrics() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", g.reporter.HTTPHandler())
-	mux.HandleFunc("GET "+BeliefsPath, g.beliefs)
+	mux.HandleFunc("GET "+ViewPath, g.beliefs)
 	mux.HandleFunc("DELETE "+QuarantinePath+"{fingerprint}", g.liftHandler)
 	return mux
 }
--- a/internal/role/gateway/engines_test.go
+++ b/internal/role/gateway/engines_test.go
@@ -120,14 +120,14 @@
 		id = fmt.Sprintf("i-%03d", place)
 	}
 	engine := hosting.NewEngine(hosting.Config{
-		ID: id, Service: modelService, Zone: fmt.Sprintf("zone-%d", place%e.f.zones), Address: address.String(), Events: engineEvents,
-		Born: time.Now().UnixMilli(),
+		ID: id, Service: modelService, Zone: fmt.Sprintf("zone-%d", place%e.f.zones), Address: address.String(), StreamLength: engineEvents,
+		StartedUnixMilli: time.Now().UnixMilli(),
 	})
 	server := &http.Server{}
 	var once sync.Once
 	endIt := func(body string) { once.Do(func() { e.end(place, id, body, server) }) }
 	e.living[place] = endIt
-	engine.Behave(func(r *http.Request) hosting.Behaviour {
+	engine.SetBehaviour(func(r *http.Request) hosting.Behaviour {
 		if e.refuses != nil && e.refuses(place) {
 			return hosting.Refuse
 		}
@@ -141,9 +141,9 @@
 		e.mu.Unlock()
 		time.Sleep(runTime)
 		endIt(body)
-		return hosting.Drop
+		return hosting.CloseUnanswered
 	})
-	engine.Say(func(r *http.Request) http.Header {
+	engine.SetHeaders(func(r *http.Request) http.Header {
 		if e.say == nil {
 			return nil
 		}
@@ -260,7 +260,7 @@
 	}
 	defer answer.Body.Close()
 	text, err := io.ReadAll(bufio.NewReader(answer.Body))
-	whole := err == nil && answer.StatusCode == http.StatusOK && strings.Contains(string(text), hosting.Event(engineEvents))
+	whole := err == nil && answer.StatusCode == http.StatusOK && strings.Contains(string(text), hosting.EventText(engineEvents))
 	if err != nil && !errors.Is(err, io.ErrUnexpectedEOF) {
 		text = append(text, err.Error()...)
 	}
--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -80,7 +80,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	server := &http.Server{Handler: f.store.For(string(host))}
+	server := &http.Server{Handler: f.store.HandlerFor(string(host))}
 	go func() { _ = server.Serve(l) }()
 	f.stop = append(f.stop, func() { server.Close() })
 }
@@ -219,9 +219,9 @@
 func (f *testFleet) turnAway(host identifier.Host) {
 	f.store.SetFault(func(c hosting.Call) hosting.Fault {
 		if c.Caller == string(host) {
-			return hosting.Busy
+			return hosting.Unavailable
 		}
-		return hosting.None
+		return hosting.NoFault
 	})
 }
 
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -116,11 +116,11 @@
 type Config struct {
 	Deployment *deployment.Deployment
 	Logger     *log.Logger
-	// Read reads the deployment again, which may change while the daemon runs;
+	// ReadDeployment reads the deployment again, which may change while the daemon runs;
 	// nil if it does not.
-	Read func() (*deployment.Deployment, error)
-	// Hint receives when the deployment is said to have changed; may be nil.
-	Hint <-chan os.Signal
+	ReadDeployment func() (*deployment.Deployment, error)
+	// Reload receives when the deployment is said to have changed; may be nil.
+	Reload <-chan os.Signal
 	// Network opens connections and listeners; the host's own if nil.
 	Network Network
 	// Uptime is a clock that goes on while the host is suspended; the host's if nil.
@@ -306,7 +306,7 @@
 	}
 	g.tree.Add(service(g.prune))
 	g.tree.Add(service(g.gauge))
-	if g.c.Read != nil {
+	if g.c.ReadDeployment != nil {
 		g.tree.Add(service(g.reread))
 	}
 	g.buildPeers()
@@ -338,10 +338,10 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-g.c.Hint:
+		case <-g.c.Reload:
 		case <-tick.C:
 		}
-		d, err := g.c.Read()
+		d, err := g.c.ReadDeployment()
 		switch {
 		case err != nil:
 			g.c.Logger.Error("settings not read again, the old ones stay in force", "error", err)
--- a/internal/role/gateway/load_test.go
+++ b/internal/role/gateway/load_test.go
@@ -50,7 +50,7 @@
 )
 
 // smallEngine works on twelve requests at once.
-var smallEngine = batcher.Config{Slots: 12, Queue: 25, Memory: 500_836, Speed: 56_100, Step: 6450 * time.Microsecond}
+var smallEngine = batcher.Config{Slots: 12, MaxWaiting: 25, MemoryTokens: 500_836, PrefillTokensPerSecond: 56_100, StepTime: 6450 * time.Microsecond}
 
 // models are the model engines of a fleet, and what became of its requests.
 type models struct {
@@ -111,7 +111,7 @@
 	config := smallEngine
 	e := hosting.NewEngine(hosting.Config{
 		ID: fmt.Sprintf("i-%d", i), Service: modelService, Zone: fmt.Sprintf("zone-%d", i%m.f.zones), Address: address.String(),
-		Batch: &config, EventTokens: eventTokens, Events: 1,
+		Batch: &config, TokensPerEvent: eventTokens, StreamLength: 1,
 	})
 	server := &http.Server{Handler: e}
 	go func() { _ = server.Serve(l) }()
@@ -138,7 +138,7 @@
 		"Version": m.f.number, "Routes": routes,
 		"Services": []any{map[string]any{
 			"Name": modelService, "MaxConns": 1300,
-			"Engine": map[string]any{"Slots": smallEngine.Slots, "KvTokens": int(smallEngine.Memory)},
+			"Engine": map[string]any{"Slots": smallEngine.Slots, "KvTokens": int(smallEngine.MemoryTokens)},
 		}},
 		"Tenants": []any{map[string]any{"Name": "desk", "ApiKeys": []string{deskKey}}},
 	})
@@ -221,7 +221,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return
 	}
-	last, events := hosting.Event((o.kind.output+eventTokens-1)/eventTokens), ""
+	last, events := hosting.EventText((o.kind.output+eventTokens-1)/eventTokens), ""
 	reader := bufio.NewReader(resp.Body)
 	for {
 		line, err := reader.ReadString('\n')
--- a/internal/role/gateway/rollouts_test.go
+++ b/internal/role/gateway/rollouts_test.go
@@ -114,9 +114,9 @@
 		}
 		id := fmt.Sprintf("%s-%02d", version, i)
 		e := hosting.NewEngine(hosting.Config{
-			ID: id, Service: modelService, Zone: fmt.Sprintf("zone-%d", i%v.f.zones), Address: address.String(), Events: engineEvents, Version: version,
+			ID: id, Service: modelService, Zone: fmt.Sprintf("zone-%d", i%v.f.zones), Address: address.String(), StreamLength: engineEvents, Version: version,
 		})
-		e.Behave(func(r *http.Request) hosting.Behaviour { return v.run(version, r) })
+		e.SetBehaviour(func(r *http.Request) hosting.Behaviour { return v.run(version, r) })
 		server := &http.Server{Handler: e}
 		go func() { _ = server.Serve(l) }()
 		v.mu.Lock()
@@ -179,8 +179,8 @@
 	v.mu.Lock()
 	v.arrivals, v.begun = nil, time.Now()
 	v.mu.Unlock()
-	states, took = hosting.NewRollout(hosting.RolloutConfig{
-		Store: v.f.store, Service: modelService, Boot: bootTime, Drain: leaveTime, Start: v.start, Stop: v.end, Leave: v.drain,
+	states, took = hosting.NewRolloutDriver(hosting.RolloutDriverConfig{
+		Store: v.f.store, Service: modelService, BootTime: bootTime, DrainTime: leaveTime, Start: v.start, Stop: v.end, StartDrain: v.drain,
 	}).Order(newVersion, d, most-2*time.Second)
 	<-done
 	v.group.Wait()
@@ -386,7 +386,7 @@
 	inVersionFleet(t, 8, func(v *versions) {
 		v.reverted(200, badVersions[0].answers, func() {
 			time.Sleep(bootTime + 300*time.Millisecond)
-			v.f.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Busy })
+			v.f.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Unavailable })
 			time.Sleep(4 * time.Second)
 			v.f.store.SetFault(nil)
 		})
@@ -460,7 +460,7 @@
 			v.cut(func(i int) bool { return i < 8 })
 		}},
 		{"the store is away", 8, func(*versions) {}, func(v *versions) {
-			v.f.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Busy })
+			v.f.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Unavailable })
 			time.Sleep(3 * time.Second)
 			v.f.store.SetFault(nil)
 		}},
--- a/internal/role/gateway/spoken_test.go
+++ b/internal/role/gateway/spoken_test.go
@@ -90,7 +90,7 @@
 	}
 	for _, size := range spokenFleets {
 		inSpokenFleet(t, size.daemons, half, func(s *spoken, _ *engines) {
-			s.f.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Busy })
+			s.f.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Unavailable })
 			replies := s.f.load(size.perSecond, 12*time.Second)
 			if n := s.after(drainTime); n > 0 || len(s.told) == 0 {
 				t.Errorf("%d daemons: %d requests reached engines later than %v after they had said that they leave (%d words)", size.daemons, n, drainTime, len(s.told))
--- a/internal/standin/batcher/batcher.go
+++ b/internal/standin/batcher/batcher.go
@@ -47,41 +47,41 @@
 // Config describes an engine.
 type Config struct {
 	Slots int
-	// Queue is how many requests may wait for a slot.
-	Queue int
-	// Memory is that for tokens of running requests and held parts.
-	Memory identifier.Tokens
-	// Speed is how many tokens of prompts are read in a second.
-	Speed float64
-	// Step is the time of a step with one request; with all slots taken it is longer by the
+	// MaxWaiting is how many requests may wait for a slot.
+	MaxWaiting int
+	// MemoryTokens is that for tokens of running requests and held parts.
+	MemoryTokens identifier.Tokens
+	// PrefillTokensPerSecond is how many tokens of prompts are read in a second.
+	PrefillTokensPerSecond float64
+	// StepTime is the time of a step with one request; with all slots taken it is longer by the
 	// part Crowd.
-	Step  time.Duration
-	Crowd float64
-	// Chunk is how much of a prompt is read in a step.
-	Chunk identifier.Tokens
+	StepTime  time.Duration
+	FullBatchSlowdown float64
+	// PrefillChunk is how much of a prompt is read in a step.
+	PrefillChunk identifier.Tokens
 }
 
-// Part is a piece of a prompt that requests may share.
-type Part struct {
+// PromptPart is a piece of a prompt that requests may share.
+type PromptPart struct {
 	ID     string
 	Tokens identifier.Tokens
 }
 
 // Job is one request.
 type Job struct {
-	Prompt []Part
-	// Output is the number of tokens that it makes.
-	Output int
-	// Urgency is 0 for the first; [usualUrgency] if negative.
-	Urgency int
+	Prompt []PromptPart
+	// OutputTokens is the number of tokens that it makes.
+	OutputTokens int
+	// Priority is 0 for the first; [usualUrgency] if negative.
+	Priority int
 }
 
 // Load is what an engine does at a moment.
 type Load struct {
 	Running, Waiting int
-	// Unread are the prompt tokens that are still to be read, Read those that were read in all.
-	Unread identifier.Tokens
-	Read   identifier.Tokens
+	// PendingPrefillTokens are the prompt tokens that are still to be read, Read those that were read in all.
+	PendingPrefillTokens identifier.Tokens
+	PrefilledTokens   identifier.Tokens
 }
 
 // Batcher is one engine. It is safe for concurrent use.
@@ -121,11 +121,11 @@
 // New returns an engine that does nothing.
 func New(c Config) *Batcher {
 	c.Slots = max(c.Slots, 1)
-	if c.Chunk == 0 {
-		c.Chunk = defaultChunk
+	if c.PrefillChunk == 0 {
+		c.PrefillChunk = defaultChunk
 	}
-	if c.Crowd == 0 {
-		c.Crowd = defaultCrowd
+	if c.FullBatchSlowdown == 0 {
+		c.FullBatchSlowdown = defaultCrowd
 	}
 	return &Batcher{c: c, held: make(map[string]*part)}
 }
@@ -145,7 +145,7 @@
 			if err := emit(token); err != nil {
 				return err
 			}
-			if token == j.Output {
+			if token == j.OutputTokens {
 				return nil
 			}
 		case <-ctx.Done():
@@ -158,12 +158,12 @@
 func (b *Batcher) Load() Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := Load{Running: len(b.running), Waiting: len(b.waiting), Read: b.read}
+	l := Load{Running: len(b.running), Waiting: len(b.waiting), PrefilledTokens: b.read}
 	for _, t := range b.running {
-		l.Unread += t.unread
+		l.PendingPrefillTokens += t.unread
 	}
 	for _, t := range b.waiting {
-		l.Unread += b.missing(t.job)
+		l.PendingPrefillTokens += b.missing(t.job)
 	}
 	return l
 }
@@ -171,13 +171,13 @@
 func (b *Batcher) enter(j *Job) (*task, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.running)+len(b.waiting) >= b.c.Slots+b.c.Queue || size(j) > b.c.Memory {
+	if len(b.running)+len(b.waiting) >= b.c.Slots+b.c.MaxWaiting || size(j) > b.c.MemoryTokens {
 		return nil, ErrFull
 	}
 	b.turn++
 	// Whoever reads slowly must not hold up the others.
-	t := &task{job: j, urgency: j.Urgency, turn: b.turn, out: make(chan int, j.Output)}
-	if j.Urgency < 0 {
+	t := &task{job: j, urgency: j.Priority, turn: b.turn, out: make(chan int, j.OutputTokens)}
+	if j.Priority < 0 {
 		t.urgency = usualUrgency
 	}
 	b.waiting = append(b.waiting, t)
@@ -196,7 +196,7 @@
 
 // size is what a job needs of the memory at most.
 func size(j *Job) identifier.Tokens {
-	sum := identifier.Tokens(j.Output)
+	sum := identifier.Tokens(j.OutputTokens)
 	for _, p := range j.Prompt {
 		sum += p.Tokens
 	}
@@ -256,7 +256,7 @@
 // room makes room for a job by giving up parts that were not used lately, and reports whether
 // there is some. The parts of running jobs count with these.
 func (b *Batcher) room(tokens identifier.Tokens) bool {
-	free := b.c.Memory - b.occupied()
+	free := b.c.MemoryTokens - b.occupied()
 	if free < tokens {
 		return b.preempt(tokens)
 	}
@@ -283,7 +283,7 @@
 	}
 	b.running = slices.DeleteFunc(b.running, func(t *task) bool { return t == last })
 	b.waiting = append(b.waiting, last)
-	return b.c.Memory-b.occupied() >= tokens
+	return b.c.MemoryTokens-b.occupied() >= tokens
 }
 
 // missing is what is to be read of a job's prompt: all from the first part on that is not held.
@@ -336,12 +336,12 @@
 	if first == nil {
 		return nil, 0
 	}
-	return first, min(first.unread, b.c.Chunk)
+	return first, min(first.unread, b.c.PrefillChunk)
 }
 
 // duration is how long a step takes in which so much is read.
 func (b *Batcher) duration(chunk identifier.Tokens) time.Duration {
-	took := time.Duration(float64(chunk) / b.c.Speed * float64(time.Second))
+	took := time.Duration(float64(chunk) / b.c.PrefillTokensPerSecond * float64(time.Second))
 	writing := 0
 	for _, t := range b.running {
 		if t.unread == 0 {
@@ -349,7 +349,7 @@
 		}
 	}
 	if writing > 0 {
-		took += time.Duration(float64(b.c.Step) * (1 + b.c.Crowd*float64(writing-1)/float64(max(b.c.Slots-1, 1))))
+		took += time.Duration(float64(b.c.StepTime) * (1 + b.c.FullBatchSlowdown*float64(writing-1)/float64(max(b.c.Slots-1, 1))))
 	}
 	return took
 }
@@ -357,12 +357,12 @@
 // finish hands out what a step made.
 func (b *Batcher) finish(reading *task, chunk identifier.Tokens) {
 	for _, t := range b.running {
-		if t.unread == 0 && t.made < t.job.Output && !t.gone {
+		if t.unread == 0 && t.made < t.job.OutputTokens && !t.gone {
 			t.made++
 			t.out <- t.made
 		}
 	}
-	b.running = slices.DeleteFunc(b.running, func(t *task) bool { return t.unread == 0 && t.made >= t.job.Output })
+	b.running = slices.DeleteFunc(b.running, func(t *task) bool { return t.unread == 0 && t.made >= t.job.OutputTokens })
 	if reading == nil {
 		return
 	}
--- a/internal/standin/batcher/batcher_test.go
+++ b/internal/standin/batcher/batcher_test.go
@@ -14,7 +14,7 @@
 
 // usual is an engine that reads 50 tokens in a millisecond.
 func usual() Config {
-	return Config{Slots: 4, Queue: 8, Memory: 100_000, Speed: 50_000, Step: 5 * time.Millisecond}
+	return Config{Slots: 4, MaxWaiting: 8, MemoryTokens: 100_000, PrefillTokensPerSecond: 50_000, StepTime: 5 * time.Millisecond}
 }
 
 // result is when a job's tokens came, since it was sent.
@@ -42,12 +42,12 @@
 	return r
 }
 
-func prompt(id string, tokens int) []Part { return []Part{{id, identifier.Tokens(tokens)}} }
+func prompt(id string, tokens int) []PromptPart { return []PromptPart{{id, identifier.Tokens(tokens)}} }
 
 func TestOneRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(usual())
-		r := run(b, &Job{Prompt: prompt("a", 5000), Output: 10})
+		r := run(b, &Job{Prompt: prompt("a", 5000), OutputTokens: 10})
 		if r.err != nil || len(r.tokens) != 10 {
 			t.Fatalf("%+v", r)
 		}
@@ -64,18 +64,18 @@
 func TestHeldPartsAreNotReadAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(usual())
-		shared := Part{"rules", 5000}
+		shared := PromptPart{"rules", 5000}
 		for i, want := range []time.Duration{125 * time.Millisecond, 25 * time.Millisecond} {
-			r := run(b, &Job{Prompt: []Part{shared, {fmt.Sprint(i), 1000}}, Output: 1})
+			r := run(b, &Job{Prompt: []PromptPart{shared, {fmt.Sprint(i), 1000}}, OutputTokens: 1})
 			if r.first() != want {
 				t.Errorf("request %d: first token after %v, want %v", i, r.first(), want)
 			}
 		}
 		// Another beginning: the same part behind it is read again.
-		if r := run(b, &Job{Prompt: []Part{{"x", 1000}, shared}, Output: 1}); r.first() != 125*time.Millisecond {
+		if r := run(b, &Job{Prompt: []PromptPart{{"x", 1000}, shared}, OutputTokens: 1}); r.first() != 125*time.Millisecond {
 			t.Errorf("first token after %v", r.first())
 		}
-		if got := b.Load().Read; got != 13_000 {
+		if got := b.Load().PrefilledTokens; got != 13_000 {
 			t.Errorf("%d tokens read", got)
 		}
 	})
@@ -86,9 +86,9 @@
 		b := New(usual())
 		var all sync.WaitGroup
 		var short *result
-		all.Go(func() { short = run(b, &Job{Prompt: prompt("a", 50), Output: 40}) })
+		all.Go(func() { short = run(b, &Job{Prompt: prompt("a", 50), OutputTokens: 40}) })
 		time.Sleep(20 * time.Millisecond)
-		all.Go(func() { run(b, &Job{Prompt: prompt("b", 20_000), Output: 1}) })
+		all.Go(func() { run(b, &Job{Prompt: prompt("b", 20_000), OutputTokens: 1}) })
 		all.Wait()
 		// A chunk of 512 tokens takes 10.24 ms beside the step of 5 ms.
 		if got := short.pause().Round(time.Millisecond); got != 15*time.Millisecond {
@@ -107,7 +107,7 @@
 		var all sync.WaitGroup
 		for i, urgency := range []int{5, 9, 9, 0} {
 			all.Go(func() {
-				run(b, &Job{Prompt: prompt(fmt.Sprint(i), 1000), Output: 1, Urgency: urgency})
+				run(b, &Job{Prompt: prompt(fmt.Sprint(i), 1000), OutputTokens: 1, Priority: urgency})
 				mu.Lock()
 				defer mu.Unlock()
 				order = append(order, fmt.Sprint(i))
@@ -123,16 +123,16 @@
 
 func TestFullEngineTakesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := New(Config{Slots: 1, Queue: 1, Memory: 2000, Speed: 1000, Step: time.Millisecond})
-		if r := run(b, &Job{Prompt: prompt("large", 3000), Output: 1}); !errors.Is(r.err, ErrFull) {
+		b := New(Config{Slots: 1, MaxWaiting: 1, MemoryTokens: 2000, PrefillTokensPerSecond: 1000, StepTime: time.Millisecond})
+		if r := run(b, &Job{Prompt: prompt("large", 3000), OutputTokens: 1}); !errors.Is(r.err, ErrFull) {
 			t.Errorf("larger than the memory: %v", r.err)
 		}
 		var all sync.WaitGroup
 		for i := range 2 {
-			all.Go(func() { run(b, &Job{Prompt: prompt(fmt.Sprint(i), 1000), Output: 1}) })
+			all.Go(func() { run(b, &Job{Prompt: prompt(fmt.Sprint(i), 1000), OutputTokens: 1}) })
 		}
 		synctest.Wait()
-		if r := run(b, &Job{Prompt: prompt("third", 10), Output: 1}); !errors.Is(r.err, ErrFull) {
+		if r := run(b, &Job{Prompt: prompt("third", 10), OutputTokens: 1}); !errors.Is(r.err, ErrFull) {
 			t.Errorf("the third: %v", r.err)
 		}
 		all.Wait()
@@ -144,13 +144,13 @@
 func TestPreemptedRequestGoesOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := usual()
-		c.Memory = 6000
+		c.MemoryTokens = 6000
 		b := New(c)
 		var all sync.WaitGroup
 		var patient, urgent *result
-		all.Go(func() { patient = run(b, &Job{Prompt: prompt("a", 5000), Output: 20, Urgency: 9}) })
+		all.Go(func() { patient = run(b, &Job{Prompt: prompt("a", 5000), OutputTokens: 20, Priority: 9}) })
 		time.Sleep(150 * time.Millisecond)
-		all.Go(func() { urgent = run(b, &Job{Prompt: prompt("b", 5000), Output: 5, Urgency: 0}) })
+		all.Go(func() { urgent = run(b, &Job{Prompt: prompt("b", 5000), OutputTokens: 5, Priority: 0}) })
 		all.Wait()
 		if urgent.first() > 115*time.Millisecond {
 			t.Errorf("the urgent one waited %v", urgent.first())
@@ -169,11 +169,11 @@
 		b := New(c)
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
-			_ = b.Run(ctx, &Job{Prompt: prompt("a", 50_000), Output: 1000}, func(int) error { return nil })
+			_ = b.Run(ctx, &Job{Prompt: prompt("a", 50_000), OutputTokens: 1000}, func(int) error { return nil })
 		}()
 		time.Sleep(10 * time.Millisecond)
 		cancel()
-		if r := run(b, &Job{Prompt: prompt("b", 500), Output: 1}); r.first() > 30*time.Millisecond {
+		if r := run(b, &Job{Prompt: prompt("b", 500), OutputTokens: 1}); r.first() > 30*time.Millisecond {
 			t.Errorf("first token after %v", r.first())
 		}
 		if l := b.Load(); l.Running+l.Waiting != 0 {
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -43,7 +43,7 @@
 	"brasschute/internal/engine/prefix"
 	"brasschute/internal/engine/report"
 	"brasschute/internal/engine/resumption"
-	"brasschute/internal/standin/textmaker"
+	"brasschute/internal/standin/textgenerator"
 )
 
 const (
@@ -123,7 +123,7 @@
 type stream struct {
 	id      string
 	prompt  string
-	maker   textmaker.Maker
+	maker   textgenerator.Generator
 	total   int
 	made    int
 	started time.Time
@@ -230,7 +230,7 @@
 		in.MaxTokens = defaultMaxTokens
 	}
 	s := &stream{id: id, prompt: in.text(), total: in.MaxTokens, made: len(delivered), started: time.Now(), idle: time.Now()}
-	s.maker = textmaker.New(s.prompt)
+	s.maker = textgenerator.New(s.prompt)
 	e.streams[id] = s
 	e.executions[id]++
 	e.queued++
--- a/internal/standin/hosting/batching.go
+++ b/internal/standin/hosting/batching.go
@@ -28,7 +28,7 @@
 	flush := http.NewResponseController(w).Flush
 	j := job(r.Header)
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	j.Output = max(j.Output-after*e.c.EventTokens, 1)
+	j.OutputTokens = max(j.OutputTokens-after*e.c.TokensPerEvent, 1)
 	events := after
 	err := e.batch.Run(ctx, j, func(token int) error {
 		if token == 1 {
@@ -36,11 +36,11 @@
 			w.Header().Set("Response-Stamp", "stamp-"+e.c.ID)
 			w.Header().Set("Content-Type", "text/event-stream")
 		}
-		if token%e.c.EventTokens != 0 && token != j.Output {
+		if token%e.c.TokensPerEvent != 0 && token != j.OutputTokens {
 			return nil
 		}
 		events++
-		if _, err := io.WriteString(w, Event(events)); err != nil {
+		if _, err := io.WriteString(w, EventText(events)); err != nil {
 			return err
 		}
 		return flush()
@@ -65,22 +65,22 @@
 
 // job reads what a model request asks for. What is not said is left out.
 func job(h http.Header) *batcher.Job {
-	j := &batcher.Job{Output: 1, Urgency: -1}
+	j := &batcher.Job{OutputTokens: 1, Priority: -1}
 	in, out, _ := strings.Cut(h.Get("Token-Count"), ",")
 	if n, err := strconv.Atoi(out); err == nil {
-		j.Output = max(n, 1)
+		j.OutputTokens = max(n, 1)
 	}
 	if n, err := strconv.Atoi(h.Get("Request-Urgency")); err == nil {
-		j.Urgency = n
+		j.Priority = n
 	}
 	for _, one := range strings.Split(h.Get("Prompt-Prefix"), ",") {
 		id, tokens, _ := strings.Cut(one, ":")
 		if n, err := strconv.Atoi(tokens); err == nil {
-			j.Prompt = append(j.Prompt, batcher.Part{ID: id, Tokens: identifier.Tokens(n)})
+			j.Prompt = append(j.Prompt, batcher.PromptPart{ID: id, Tokens: identifier.Tokens(n)})
 		}
 	}
 	if n, err := strconv.Atoi(in); err == nil && len(j.Prompt) == 0 {
-		j.Prompt = []batcher.Part{{ID: fmt.Sprint("of ", h.Get("Request-Id")), Tokens: identifier.Tokens(n)}}
+		j.Prompt = []batcher.PromptPart{{ID: fmt.Sprint("of ", h.Get("Request-Id")), Tokens: identifier.Tokens(n)}}
 	}
 	return j
 }
--- a/internal/standin/hosting/cloud.go
+++ b/internal/standin/hosting/cloud.go
@@ -34,8 +34,8 @@
 	lose    func(path string) bool
 }
 
-// SetLose makes the cloud ask whether a call is done without an answer.
-func (c *Cloud) SetLose(lose func(path string) bool) {
+// SetLoseAnswer makes the cloud ask whether a call is done without an answer.
+func (c *Cloud) SetLoseAnswer(lose func(path string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.lose = lose
--- a/internal/standin/hosting/hosting.go
+++ b/internal/standin/hosting/hosting.go
@@ -43,27 +43,27 @@
 	Misdirect
 	// Fail runs it and answers 500.
 	Fail
-	// Drop runs it and closes the connection without an answer.
-	Drop
-	// Break runs it and breaks off in the middle of the answer, of an event
+	// CloseUnanswered runs it and closes the connection without an answer.
+	CloseUnanswered
+	// TruncateAnswer runs it and breaks off in the middle of the answer, of an event
 	// where it streams.
-	Break
-	// Hold runs it and waits until Release.
-	Hold
-	// Twice answers, and then sends a second answer to nobody.
-	Twice
-	// Unsigned answers without the engine's signature.
-	Unsigned
-	// Encoded answers with a body in an encoding that nobody asked for.
-	Encoded
-	// Unframed answers without a length; the connection's end ends it.
-	Unframed
-	// Foreign answers with the id of another request first.
-	Foreign
+	TruncateAnswer
+	// HoldUntilRelease runs it and waits until Release.
+	HoldUntilRelease
+	// AnswerTwice answers, and then sends a second answer to nobody.
+	AnswerTwice
+	// OmitSignature answers without the engine's signature.
+	OmitSignature
+	// EncodeUnasked answers with a body in an encoding that nobody asked for.
+	EncodeUnasked
+	// OmitLength answers without a length; the connection's end ends it.
+	OmitLength
+	// AnswerWrongRequest answers with the id of another request first.
+	AnswerWrongRequest
 )
 
-// Run is a request that an engine began to work on.
-type Run struct {
+// Execution is a request that an engine began to work on.
+type Execution struct {
 	Request string
 	Tenant  string
 	Header  http.Header
@@ -82,15 +82,15 @@
 	Address string
 	// Version is that of its software.
 	Version string
-	// Events is the length of a stream; 0 for plain answers.
-	Events int
+	// StreamLength is the length of a stream; 0 for plain answers.
+	StreamLength int
 	Spot   bool
-	// Born is when it started, in milliseconds from 1970; 0 if it does not say so.
-	Born int64
+	// StartedUnixMilli is when it started, in milliseconds from 1970; 0 if it does not say so.
+	StartedUnixMilli int64
 	// Batch, if not nil, makes it a model engine that works on several requests at once;
 	// an event of its streams holds EventTokens. Requests say their size and parts.
 	Batch       *batcher.Config
-	EventTokens int
+	TokensPerEvent int
 }
 
 // Engine is one engine. It is an http.Handler and safe for concurrent use.
@@ -100,7 +100,7 @@
 	mu      sync.Mutex
 	behave  func(*http.Request) Behaviour
 	say     func(*http.Request) http.Header
-	runs    []Run
+	runs    []Execution
 	arrived int
 	hold    chan struct{}
 	holding int
@@ -111,7 +111,7 @@
 
 // NewEngine returns an engine that serves.
 func NewEngine(c Config) *Engine {
-	c.EventTokens = max(c.EventTokens, 1)
+	c.TokensPerEvent = max(c.TokensPerEvent, 1)
 	e := &Engine{c: c, hold: make(chan struct{}), ended: make(chan struct{})}
 	if c.Batch != nil {
 		e.batch = batcher.New(*c.Batch)
@@ -119,16 +119,16 @@
 	return e
 }
 
-// Behave makes the engine ask how to treat each request.
-func (e *Engine) Behave(f func(*http.Request) Behaviour) {
+// SetBehaviour makes the engine ask how to treat each request.
+func (e *Engine) SetBehaviour(f func(*http.Request) Behaviour) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.behave = f
 }
 
-// Say makes the engine ask what it says of itself in the head of each answer, refusals
+// SetHeaders makes the engine ask what it says of itself in the head of each answer, refusals
 // included: headers that are added to those of the protocol.
-func (e *Engine) Say(f func(*http.Request) http.Header) {
+func (e *Engine) SetHeaders(f func(*http.Request) http.Header) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.say = f
@@ -149,25 +149,25 @@
 	defer e.mu.Unlock()
 	close(e.ended)
 	e.ended = make(chan struct{})
-	e.c.Born++
+	e.c.StartedUnixMilli++
 }
 
-// Runs returns what the engine ran, in the order of its beginning.
-func (e *Engine) Runs() []Run {
+// Executions returns what the engine ran, in the order of its beginning.
+func (e *Engine) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Run(nil), e.runs...)
+	return append([]Execution(nil), e.runs...)
 }
 
-// Arrived counts the requests that reached the engine, refused ones too.
-func (e *Engine) Arrived() int {
+// Received counts the requests that reached the engine, refused ones too.
+func (e *Engine) Received() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.arrived
 }
 
-// Holding counts the requests that wait for Release.
-func (e *Engine) Holding() int {
+// HeldCount counts the requests that wait for Release.
+func (e *Engine) HeldCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.holding
@@ -183,8 +183,8 @@
 	if e.c.Version != "" {
 		out["Version"] = e.c.Version
 	}
-	if e.c.Born > 0 {
-		out["born"] = e.c.Born
+	if e.c.StartedUnixMilli > 0 {
+		out["born"] = e.c.StartedUnixMilli
 	}
 	return out
 }
@@ -229,9 +229,9 @@
 }
 
 // begin notes that the engine begins to work on a request.
-func (e *Engine) begin(r *http.Request, body string) Run {
+func (e *Engine) begin(r *http.Request, body string) Execution {
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	run := Run{
+	run := Execution{
 		Request: r.Header.Get("Request-Id"), Tenant: r.Header.Get("Tenant"), Header: r.Header.Clone(), Method: r.Method,
 		Target: r.RequestURI, Body: body, After: after,
 	}
@@ -242,7 +242,7 @@
 }
 
 func (e *Engine) run(w http.ResponseWriter, r *http.Request, how Behaviour, after int, ended <-chan struct{}) {
-	if how != Unsigned {
+	if how != OmitSignature {
 		w.Header().Set("Response-Stamp", "stamp-"+e.c.ID)
 	}
 	switch how {
@@ -250,25 +250,25 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, "failed")
 		return
-	case Drop:
+	case CloseUnanswered:
 		panic(http.ErrAbortHandler)
-	case Hold:
+	case HoldUntilRelease:
 		e.wait(r, ended)
-	case Encoded:
+	case EncodeUnasked:
 		w.Header().Set("Content-Encoding", "gzip")
-	case Unframed, Twice, Foreign:
+	case OmitLength, AnswerTwice, AnswerWrongRequest:
 		e.raw(w, r, how)
 		return
 	}
-	if e.c.Events == 0 {
+	if e.c.StreamLength == 0 {
 		e.plain(w, how)
 		return
 	}
 	e.stream(w, how, after, ended)
 }
 
-// Text is the body of an engine's plain answer.
-func (e *Engine) Text() string { return "answer of " + e.c.ID }
+// AnswerBody is the body of an engine's plain answer.
+func (e *Engine) AnswerBody() string { return "answer of " + e.c.ID }
 
 func (e *Engine) wait(r *http.Request, ended <-chan struct{}) {
 	e.mu.Lock()
@@ -291,8 +291,8 @@
 }
 
 func (e *Engine) plain(w http.ResponseWriter, how Behaviour) {
-	text := e.Text()
-	if how == Break {
+	text := e.AnswerBody()
+	if how == TruncateAnswer {
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		_, _ = io.WriteString(w, text[:len(text)/2])
 		panic(http.ErrAbortHandler)
@@ -300,24 +300,24 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// Event is the text of one event of a stream.
-func Event(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
+// EventText is the text of one event of a stream.
+func EventText(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
 
 func (e *Engine) stream(w http.ResponseWriter, how Behaviour, after int, ended <-chan struct{}) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w).Flush
-	for n := after + 1; n <= e.c.Events; n++ {
+	for n := after + 1; n <= e.c.StreamLength; n++ {
 		select {
 		case <-ended:
 			panic(http.ErrAbortHandler)
 		default:
 		}
-		if how == Break && n > e.c.Events/2 {
-			_, _ = io.WriteString(w, Event(n)[:10])
+		if how == TruncateAnswer && n > e.c.StreamLength/2 {
+			_, _ = io.WriteString(w, EventText(n)[:10])
 			_ = flush()
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = io.WriteString(w, Event(n))
+		_, _ = io.WriteString(w, EventText(n))
 		_ = flush()
 	}
 }
@@ -329,14 +329,14 @@
 		return
 	}
 	defer conn.Close()
-	id, text := r.Header.Get("Request-Id"), e.Text()
+	id, text := r.Header.Get("Request-Id"), e.AnswerBody()
 	switch how {
-	case Unframed:
+	case OmitLength:
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Stamp: s\r\nConnection: close\r\n\r\n%s", id, text)
-	case Foreign:
+	case AnswerWrongRequest:
 		e.write(conn, "another-request", "not yours")
 		e.write(conn, id, text)
-	case Twice:
+	case AnswerTwice:
 		e.write(conn, id, text)
 		e.write(conn, id, "second answer")
 		e.serveOn(conn, buffer.Reader)
@@ -357,7 +357,7 @@
 			return
 		}
 		run := e.begin(r, string(body))
-		e.write(conn, run.Request, e.Text())
+		e.write(conn, run.Request, e.AnswerBody())
 		e.write(conn, run.Request, "second answer")
 	}
 }
--- a/internal/standin/hosting/rollout.go
+++ b/internal/standin/hosting/rollout.go
@@ -8,34 +8,34 @@
 // RolloutKind is the kind of object in which operators order roll-outs.
 const RolloutKind = "rollouts"
 
-// RolloutConfig says what the platform does for the orders of one service.
-type RolloutConfig struct {
+// RolloutDriverConfig says what the platform does for the orders of one service.
+type RolloutDriverConfig struct {
 	Store   *Store
 	Service string
-	// Boot is how long the endpoints of a version take to start, Drain how long those of a
+	// BootTime is how long the endpoints of a version take to start, DrainTime how long those of a
 	// reverted one go on.
-	Boot, Drain time.Duration
+	BootTime, DrainTime time.Duration
 	// Start starts endpoints of a version; Stop ends those of all other versions at once,
 	// Leave lets those of a version drain.
 	Start func(version string)
 	Stop  func(allBut string)
-	Leave func(version string)
+	StartDrain func(version string)
 }
 
-// Rollout is what the platform does for a service's roll-outs. Use Order.
-type Rollout struct{ c RolloutConfig }
+// RolloutDriver is what the platform does for a service's roll-outs. Use Order.
+type RolloutDriver struct{ c RolloutDriverConfig }
 
-// NewRollout returns one that has no order.
-func NewRollout(c RolloutConfig) *Rollout { return &Rollout{c: c} }
+// NewRolloutDriver returns one that has no order.
+func NewRolloutDriver(c RolloutDriverConfig) *RolloutDriver { return &RolloutDriver{c: c} }
 
 // Order writes an order, starts the endpoints of its version and acts by the states that the
 // daemons store, until one is final or a time has passed. It returns the states, and when the
 // last of them was stored, since the order.
-func (r *Rollout) Order(target string, d, most time.Duration) (states []string, took time.Duration) {
+func (r *RolloutDriver) Order(target string, d, most time.Duration) (states []string, took time.Duration) {
 	const look = 20 * time.Millisecond
 	begun := time.Now()
 	r.c.Store.Write(RolloutKind, r.c.Service, map[string]any{"Service": r.c.Service, "Target": target, "DurationS": d.Seconds()})
-	time.AfterFunc(r.c.Boot, func() { r.c.Start(target) })
+	time.AfterFunc(r.c.BootTime, func() { r.c.Start(target) })
 	for ; time.Since(begun) < most; time.Sleep(look) {
 		var status struct{ State, Target string }
 		raw := r.c.Store.Status(RolloutKind, r.c.Service)
@@ -50,7 +50,7 @@
 		case "complete":
 			r.c.Stop(target)
 		case "reverted":
-			time.AfterFunc(r.c.Drain, func() { r.c.Leave(target) })
+			time.AfterFunc(r.c.DrainTime, func() { r.c.StartDrain(target) })
 		}
 	}
 	return states, took
--- a/internal/standin/hosting/store.go
+++ b/internal/standin/hosting/store.go
@@ -15,17 +15,17 @@
 
 // The faults.
 const (
-	// None: the call is served.
-	None Fault = iota
-	// Busy answers 503 and Many 429; nothing is done.
-	Busy
-	Many
-	// Lost does the call and closes the connection without an answer.
-	Lost
-	// Reset closes the connection; nothing is done.
-	Reset
-	// Silent never answers; nothing is done.
-	Silent
+	// NoFault: the call is served.
+	NoFault Fault = iota
+	// Unavailable answers 503 and Many 429; nothing is done.
+	Unavailable
+	TooManyRequests
+	// LoseAnswer does the call and closes the connection without an answer.
+	LoseAnswer
+	// ResetConnection closes the connection; nothing is done.
+	ResetConnection
+	// NeverAnswer never answers; nothing is done.
+	NeverAnswer
 )
 
 type metadata struct {
@@ -181,9 +181,9 @@
 	s.changed = make(chan struct{})
 }
 
-// For returns the store as one host sees it: its calls bear the host's name, so
+// HandlerFor returns the store as one host sees it: its calls bear the host's name, so
 // that a fault can be for some hosts only.
-func (s *Store) For(caller string) http.Handler {
+func (s *Store) HandlerFor(caller string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.take(w, r, caller) })
 }
 
@@ -195,23 +195,23 @@
 	s.calls = append(s.calls, c)
 	fault := s.fault
 	s.mu.Unlock()
-	action := None
+	action := NoFault
 	if fault != nil {
 		action = fault(c)
 	}
 	switch action {
-	case Busy:
+	case Unavailable:
 		w.WriteHeader(http.StatusServiceUnavailable)
-	case Many:
+	case TooManyRequests:
 		w.WriteHeader(http.StatusTooManyRequests)
-	case Reset:
+	case ResetConnection:
 		panic(http.ErrAbortHandler)
-	case Silent:
+	case NeverAnswer:
 		select {
 		case <-s.closed:
 		case <-r.Context().Done():
 		}
-	case Lost:
+	case LoseAnswer:
 		s.serve(discard{}, r, c)
 		panic(http.ErrAbortHandler)
 	default:
@@ -318,7 +318,7 @@
 	s.mu.Lock()
 	fault := s.fault
 	s.mu.Unlock()
-	return fault != nil && fault(c) != None
+	return fault != nil && fault(c) != NoFault
 }
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request, c Call) {
--- a/internal/standin/platform/cloud.go
+++ b/internal/standin/platform/cloud.go
@@ -22,8 +22,8 @@
 	server *http.Server
 }
 
-// Wave reclaims all hosts of a zone, or those of one class.
-type Wave struct {
+// ReclaimWave reclaims all hosts of a zone, or those of one class.
+type ReclaimWave struct {
 	AvailabilityZone identifier.AvailabilityZone
 	// Class is empty for all.
 	Class    string
@@ -125,7 +125,7 @@
 }
 
 func (p *Platform) wave(w http.ResponseWriter, r *http.Request) {
-	var wave Wave
+	var wave ReclaimWave
 	if !read(w, r, &wave) {
 		return
 	}
