--- a/integration/configuration_test.go
+++ b/integration/configuration_test.go
@@ -247,7 +247,7 @@
 	// daemon must keep the last good one and say what it refused; the next
 	// apply must replace the bad one.
 	f := three(t)
-	f.raw(inventory.ConfigurationKey, keeper.Stored{Source: "Rules: nonsense", Change: keeper.Change{Number: 7}})
+	f.raw(inventory.ConfigurationKey, keeper.Record{Source: "Rules: nonsense", Change: keeper.Change{Number: 7}})
 	for _, d := range f.entries {
 		eventually(t, d.host, func() error {
 			s, err := d.status()
--- a/integration/stream_test.go
+++ b/integration/stream_test.go
@@ -106,7 +106,7 @@
 		s.moved = true
 	case event == "error":
 		s.failed = data
-	case data == frame.End:
+	case data == frame.EndMarker:
 		s.whole = true
 	case json.Unmarshal([]byte(data), &f) == nil && !f.Finished():
 		s.text += f.Content()
--- a/internal/config/applier/applier.go
+++ b/internal/config/applier/applier.go
@@ -122,8 +122,8 @@
 	return &next.Change, nil
 }
 
-func (a *Applier) read(ctx context.Context) (*keeper.Stored, uint64, error) {
-	var s keeper.Stored
+func (a *Applier) read(ctx context.Context) (*keeper.Record, uint64, error) {
+	var s keeper.Record
 	o, err := a.c.Store.Get(ctx, inventory.ConfigurationKey)
 	if errors.Is(err, object.ErrMissing) {
 		return &s, object.Absent, nil
@@ -134,14 +134,14 @@
 	if err := json.Unmarshal(o.Value, &s); err != nil {
 		// A bad object written by other hands: it can be replaced, and its
 		// history is lost already.
-		return &keeper.Stored{}, o.Version, nil
+		return &keeper.Record{}, o.Version, nil
 	}
 	return &s, o.Version, nil
 }
 
 // valid tells whether a stored configuration can be in force anywhere. One
 // that cannot was written past the checks, and no draft can be made from it.
-func valid(s *keeper.Stored) bool {
+func valid(s *keeper.Record) bool {
 	_, err := compiler.Compile("stored", []byte(s.Source))
 	return err == nil
 }
@@ -149,9 +149,9 @@
 // check compares the draft's origin with the latest number known. The
 // platform's may be lower than the one in force here, after a stale read or a
 // restored backup; the higher one counts.
-func (a *Applier) check(d *Draft, stored *keeper.Stored) error {
+func (a *Applier) check(d *Draft, stored *keeper.Record) error {
 	latest := &stored.Change
-	if s := a.c.Keeper.InForce(); s != nil && (s.Number() > latest.Number || !valid(stored)) {
+	if s := a.c.Keeper.Current(); s != nil && (s.Number() > latest.Number || !valid(stored)) {
 		latest = &s.Change
 	}
 	if d.From != latest.Number {
@@ -160,10 +160,10 @@
 	return nil
 }
 
-func (a *Applier) next(d *Draft, old *keeper.Stored) *keeper.Stored {
+func (a *Applier) next(d *Draft, old *keeper.Record) *keeper.Record {
 	token := make([]byte, tokenBytes)
 	_, _ = rand.Read(token)
-	next := &keeper.Stored{Source: d.Source}
+	next := &keeper.Record{Source: d.Source}
 	next.Change = keeper.Change{
 		Number: max(d.From, old.Change.Number) + 1, From: d.From, Who: d.Who, WhenUnixMilli: time.Now().UnixMilli(),
 		Token: hex.EncodeToString(token), Differs: Differences(old.Source, d.Source),
@@ -176,12 +176,12 @@
 
 // archive moves the older half of a full history to an object of its own,
 // before the write that no longer contains it.
-func (a *Applier) archive(ctx context.Context, next *keeper.Stored) error {
+func (a *Applier) archive(ctx context.Context, next *keeper.Record) error {
 	if len(next.History) < historyMax {
 		return nil
 	}
 	old := next.History[historyKept:]
-	key := fmt.Sprintf("%sarchive/%012d", inventory.TrailPrefix, old[0].Number)
+	key := fmt.Sprintf("%sarchive/%012d", inventory.AuditPrefix, old[0].Number)
 	if _, err := a.c.Store.Put(ctx, key, object.Absent, old); err != nil && !errors.Is(err, object.ErrConflict) {
 		return fmt.Errorf("archive of older changes: %w", err)
 	}
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (a *Applier) write(ctx context.Context, d *Draft, next *keeper.Stored, version uint64) error {
+func (a *Applier) write(ctx context.Context, d *Draft, next *keeper.Record, version uint64) error {
 	for range readBacks {
 		_, err := a.c.Store.Put(ctx, inventory.ConfigurationKey, version, next)
 		switch {
@@ -210,7 +210,7 @@
 
 // settle tells a real conflict from our own write that took effect after its
 // answer was lost.
-func (a *Applier) settle(ctx context.Context, d *Draft, next *keeper.Stored) error {
+func (a *Applier) settle(ctx context.Context, d *Draft, next *keeper.Record) error {
 	done, _, err := a.readBack(ctx, d, next)
 	if err != nil || done {
 		return err
@@ -224,7 +224,7 @@
 
 // readBack looks for our write. done: it stands. Otherwise the returned
 // version is the one to write under again.
-func (a *Applier) readBack(ctx context.Context, d *Draft, next *keeper.Stored) (done bool, version uint64, err error) {
+func (a *Applier) readBack(ctx context.Context, d *Draft, next *keeper.Record) (done bool, version uint64, err error) {
 	for range readBacks {
 		stored, version, err := a.read(ctx)
 		if err != nil {
@@ -242,7 +242,7 @@
 	return false, 0, ErrUnknown
 }
 
-func contains(s *keeper.Stored, token string) bool {
+func contains(s *keeper.Record, token string) bool {
 	if s.Change.Token == token {
 		return true
 	}
--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -59,8 +59,8 @@
 	// time to the first event (or the answer) that earns its full worth, and
 	// PauseObjective the longest pause between events for that.
 	Timeout        time.Duration
-	Objective      time.Duration
-	PauseObjective time.Duration
+	FirstEventObjective      time.Duration
+	EventGapObjective time.Duration
 	// Rank is the priority; 0 is the most urgent.
 	Rank    int
 	Targets []Target
@@ -72,8 +72,8 @@
 	Resumable bool
 }
 
-// Repeatable tells whether a request of the route may run more than once.
-func (r *Route) Repeatable() bool {
+// Retryable tells whether a request of the route may run more than once.
+func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
@@ -87,8 +87,8 @@
 	// LinkMbps.
 	TokenBytes int
 	LinkMbps   float64
-	// Moves: a running request's state can be copied to another engine.
-	Moves bool
+	// Migratable: a running request's state can be copied to another engine.
+	Migratable bool
 	// TokensPerEvent is the number of output tokens in one event.
 	TokensPerEvent int
 }
@@ -98,11 +98,11 @@
 	// Min and Max bound the endpoints of one availability zone.
 	Min int
 	Max int
-	// Boot is the time from an order until a new endpoint serves.
-	Boot time.Duration
-	// ReclaimablePrice is the part of the price that a reclaimable endpoint
+	// BootTime is the time from an order until a new endpoint serves.
+	BootTime time.Duration
+	// ReclaimablePriceRatio is the part of the price that a reclaimable endpoint
 	// costs; 0 if there are none.
-	ReclaimablePrice float64
+	ReclaimablePriceRatio float64
 	// Prices are those of one endpoint for a second, by zone.
 	Prices map[identifier.AvailabilityZone]float64
 }
--- a/internal/config/deployment/deployment.go
+++ b/internal/config/deployment/deployment.go
@@ -48,13 +48,13 @@
 	UsageWindow time.Duration
 	// UsageDue is how long after its end a window's report is due.
 	UsageDue time.Duration
-	// TrialShare of all requests for a service, and TrialSlack requests, may go to a version
+	// CanaryShare of all requests for a service, and TrialSlack requests, may go to a version
 	// of its endpoints that turns out to be bad, and none later than RevertTime after it has.
-	TrialShare float64
-	TrialSlack float64
-	RevertTime time.Duration
-	// CacheTime is how long an engine's cached prompt part counts as cached.
-	CacheTime time.Duration
+	CanaryShare float64
+	CanarySlack float64
+	RollbackTime time.Duration
+	// PrefixCacheTTL is how long an engine's cached prompt part counts as cached.
+	PrefixCacheTTL time.Duration
 }
 
 // Deployment is what a process knows at its start.
@@ -76,15 +76,15 @@
 	// there are no orders or reports.
 	Store netip.AddrPort
 	Cloud netip.AddrPort
-	// Reports and Orders say which duties the deployment asks for.
-	Reports bool
-	Orders  bool
+	// UsageReports and Orders say which duties the deployment asks for.
+	UsageReports bool
+	FleetSizing  bool
 	// Rollouts: operators order that services be moved to other versions.
 	Rollouts bool
 	// MemoryBytes is the limit at which the process is killed.
 	MemoryBytes int64
-	// LinkBytes is what the host's link carries in a second, each way; 0 if not known.
-	LinkBytes float64
+	// LinkBytesPerSecond is what the host's link carries in a second, each way; 0 if not known.
+	LinkBytesPerSecond float64
 	// FirstStart: the whole system starts for the first time.
 	FirstStart bool
 	Bounds     Bounds
@@ -116,7 +116,7 @@
 			report(a.field, "no address", "IP:port")
 		}
 	}
-	if (d.Reports || d.Orders) && !d.Cloud.IsValid() {
+	if (d.UsageReports || d.FleetSizing) && !d.Cloud.IsValid() {
 		report("address for orders and reports", "no address", "IP:port")
 	}
 	d.checkBounds(report)
--- a/internal/config/keeper/keeper.go
+++ b/internal/config/keeper/keeper.go
@@ -12,7 +12,7 @@
 //
 // A configuration is compiled before it comes into force. One that does not
 // compile, having been written by other hands than ours, is refused aloud:
-// the last good one stays in force, and [Keeper.Refused] says what was wrong.
+// the last good one stays in force, and [Keeper.LastRefusal] says what was wrong.
 //
 // # Usage
 //
@@ -46,10 +46,10 @@
 	Differs []string
 }
 
-// Stored is the configuration as the platform holds it: the text, and the
+// Record is the configuration as the platform holds it: the text, and the
 // record of how it came to be, in one object, so that neither exists without
 // the other.
-type Stored struct {
+type Record struct {
 	Source string
 	Change Change
 	// History holds earlier changes, newest first.
@@ -68,10 +68,10 @@
 
 // Config names who is told of changes.
 type Config struct {
-	// Changed is called after each new configuration; may be nil.
-	Changed func(*Snapshot)
-	// Refuse is told of each configuration that is refused; may be nil.
-	Refuse func(identifier.ConfigurationNumber, error)
+	// OnChange is called after each new configuration; may be nil.
+	OnChange func(*Snapshot)
+	// OnRefused is told of each configuration that is refused; may be nil.
+	OnRefused func(identifier.ConfigurationNumber, error)
 }
 
 // Keeper holds the configuration in force. It is safe for concurrent use.
@@ -85,29 +85,29 @@
 
 // New returns a keeper without configuration.
 func New(c Config) *Keeper {
-	if c.Changed == nil {
-		c.Changed = func(*Snapshot) {}
+	if c.OnChange == nil {
+		c.OnChange = func(*Snapshot) {}
 	}
-	if c.Refuse == nil {
-		c.Refuse = func(identifier.ConfigurationNumber, error) {}
+	if c.OnRefused == nil {
+		c.OnRefused = func(identifier.ConfigurationNumber, error) {}
 	}
 	return &Keeper{c: c}
 }
 
-// InForce returns the configuration in force, nil if there is none yet.
-func (k *Keeper) InForce() *Snapshot { return k.inForce.Load() }
+// Current returns the configuration in force, nil if there is none yet.
+func (k *Keeper) Current() *Snapshot { return k.inForce.Load() }
 
 // Number returns the number in force, 0 if there is none yet.
 func (k *Keeper) Number() identifier.ConfigurationNumber {
-	if s := k.InForce(); s != nil {
+	if s := k.Current(); s != nil {
 		return s.Number()
 	}
 	return 0
 }
 
-// Refused describes the last configuration refused, if it is newer than the
+// LastRefusal describes the last configuration refused, if it is newer than the
 // one in force; else it is empty.
-func (k *Keeper) Refused() string {
+func (k *Keeper) LastRefusal() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.refused
@@ -118,7 +118,7 @@
 	if o.Key != inventory.ConfigurationKey || o.Deleted {
 		return
 	}
-	var s Stored
+	var s Record
 	if err := json.Unmarshal(o.Value, &s); err != nil {
 		k.refuse(0, fmt.Errorf("the platform's object is not a configuration: %w", err))
 		return
@@ -148,7 +148,7 @@
 	}
 	k.inForce.Store(s)
 	k.refused = ""
-	k.c.Changed(s)
+	k.c.OnChange(s)
 	return true
 }
 
@@ -156,5 +156,5 @@
 	k.mu.Lock()
 	k.refused = fmt.Sprintf("configuration %d: %v", n, err)
 	k.mu.Unlock()
-	k.c.Refuse(n, err)
+	k.c.OnRefused(n, err)
 }
--- a/internal/config/rollout/rollout.go
+++ b/internal/config/rollout/rollout.go
@@ -48,8 +48,8 @@
 	return names[p]
 }
 
-// Final tells whether nothing follows.
-func (p Phase) Final() bool { return p >= Complete }
+// IsFinal tells whether nothing follows.
+func (p Phase) IsFinal() bool { return p >= Complete }
 
 // Rollout is an order with its state as it is stored.
 type Rollout struct {
@@ -77,15 +77,15 @@
 	mostLead  = 1600 * time.Millisecond
 )
 
-// Lead is how long before the deadline all new requests go to the version that is to be
+// CutoverLead is how long before the deadline all new requests go to the version that is to be
 // complete by then, where it may have a share of all until then.
-func (r *Rollout) Lead(share float64) time.Duration {
+func (r *Rollout) CutoverLead(share float64) time.Duration {
 	lead := time.Duration(leadPart * share * float64(r.Duration))
 	return min(max(lead, leastLead), mostLead)
 }
 
-// Old counts the endpoints of other versions.
-func (r *Rollout) Old(endpoints map[identifier.Version]int) (n int) {
+// CountOld counts the endpoints of other versions.
+func (r *Rollout) CountOld(endpoints map[identifier.Version]int) (n int) {
 	for version, count := range endpoints {
 		if version != r.Target {
 			n += count
@@ -94,7 +94,7 @@
 	return n
 }
 
-// Order numbers the order: the same for all who read it, whatever its state.
-func (r *Rollout) Order() uint64 {
+// OrderID numbers the order: the same for all who read it, whatever its state.
+func (r *Rollout) OrderID() uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s/%s/%d/%s", r.Service, r.Target, r.Duration, r.Created))
 }
--- a/internal/config/versioner/versioner.go
+++ b/internal/config/versioner/versioner.go
@@ -9,7 +9,7 @@
 //
 // # Behind
 //
-// Numbers travel faster than configurations, which may be large. [Versioner.Told]
+// Numbers travel faster than configurations, which may be large. [Versioner.ObserveNumber]
 // notes a number that others have, and [Versioner.Lag] says for how long this daemon
 // has known that it lacks it.
 //
@@ -61,8 +61,8 @@
 	return true
 }
 
-// Told notes the number of a configuration that others have.
-func (v *Versioner) Told(n identifier.ConfigurationNumber) {
+// ObserveNumber notes the number of a configuration that others have.
+func (v *Versioner) ObserveNumber(n identifier.ConfigurationNumber) {
 	if lag := v.lag.Load(); lag != nil && lag.Number >= n {
 		return
 	}
@@ -87,5 +87,5 @@
 	return *lag, true
 }
 
-// InForce returns the newest catalog, or nil.
-func (v *Versioner) InForce() *catalog.Catalog { return v.current.Load() }
+// Current returns the newest catalog, or nil.
+func (v *Versioner) Current() *catalog.Catalog { return v.current.Load() }
--- a/internal/config/versioner/versioner_test.go
+++ b/internal/config/versioner/versioner_test.go
@@ -18,14 +18,14 @@
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			n := identifier.ConfigurationNumber(rapid.IntRange(1, 12).Draw(t, "number"))
 			if rapid.Bool().Draw(t, "told") {
-				v.Told(n)
+				v.ObserveNumber(n)
 				told = max(told, n)
 			} else if news := v.Offer(catalog.New(catalog.Config{Number: n})); news != (n > offered) {
 				t.Fatalf("%d offered after %d: news %v", n, offered, news)
 			} else {
 				offered = max(offered, n)
 			}
-			if c := v.InForce(); (c == nil) != (offered == 0) || c != nil && c.Number() != offered {
+			if c := v.Current(); (c == nil) != (offered == 0) || c != nil && c.Number() != offered {
 				t.Fatalf("%v in force, %d offered", c, offered)
 			}
 			lag, behind := v.Lag()
--- a/internal/engine/caller/caller.go
+++ b/internal/engine/caller/caller.go
@@ -71,10 +71,10 @@
 	ErrNotRun = errors.New("endpoint: refused, not run")
 	// ErrTruncated: the stream ended without its end mark.
 	ErrTruncated = errors.New("endpoint: stream ended without its end mark")
-	// ErrCrossed: a frame of another stream arrived.
-	ErrCrossed = errors.New("endpoint: frame of another stream")
-	// ErrNotHeld: the engine does not hold the stream to resume.
-	ErrNotHeld = errors.New("endpoint: stream not held")
+	// ErrWrongStream: a frame of another stream arrived.
+	ErrWrongStream = errors.New("endpoint: frame of another stream")
+	// ErrStreamNotFound: the engine does not hold the stream to resume.
+	ErrStreamNotFound = errors.New("endpoint: stream not held")
 	// ErrStatus: the endpoint answered with another status than 200.
 	ErrStatus = errors.New("endpoint: unexpected status")
 )
@@ -132,8 +132,8 @@
 // State returns how far the attempt got.
 func (a *Attempt) State() State { return State(a.state.Load()) }
 
-// Rest is for how long the endpoint wants nothing, as it said; 0 if it did not.
-func (a *Attempt) Rest() time.Duration { return time.Duration(a.rest.Load()) }
+// Backoff is for how long the endpoint wants nothing, as it said; 0 if it did not.
+func (a *Attempt) Backoff() time.Duration { return time.Duration(a.rest.Load()) }
 
 // body hides the reader's type, so that http.NewRequest sets no GetBody.
 type body struct{ io.Reader }
@@ -250,7 +250,7 @@
 	case resp.Header.Get("Not-Run") == "true":
 		return fmt.Errorf("%w (status %d)", ErrNotRun, resp.StatusCode)
 	case resp.StatusCode == http.StatusNotFound:
-		return ErrNotHeld
+		return ErrStreamNotFound
 	}
 	return fmt.Errorf("%w %d", ErrStatus, resp.StatusCode)
 }
@@ -294,15 +294,15 @@
 	return &e, err
 }
 
-// Importation asks an engine to copy cache blocks from another.
-type Importation struct {
+// ImportRequest asks an engine to copy cache blocks from another.
+type ImportRequest struct {
 	// Source is IP:port of the engine that holds them.
 	Source string
 	Blocks []prefix.Block
 }
 
 // Import makes an engine copy cache blocks.
-func (c *Caller) Import(ctx context.Context, address string, i *Importation) error {
+func (c *Caller) Import(ctx context.Context, address string, i *ImportRequest) error {
 	return c.simple(ctx, http.MethodPost, "http://"+address+"/v1/kv/import", i, nil)
 }
 
@@ -359,7 +359,7 @@
 		if !ok {
 			continue
 		}
-		if data == frame.End {
+		if data == frame.EndMarker {
 			return nil, s.end()
 		}
 		f := new(frame.Frame)
@@ -368,7 +368,7 @@
 		}
 		switch {
 		case f.ID != s.id || f.Offset > s.offset:
-			return nil, ErrCrossed
+			return nil, ErrWrongStream
 		case f.Offset < s.offset || s.ended:
 			continue
 		}
--- a/internal/engine/frame/frame.go
+++ b/internal/engine/frame/frame.go
@@ -17,8 +17,8 @@
 
 import "brasschute/internal/core/identifier"
 
-// End is the data of the event that marks a whole stream.
-const End = "[DONE]"
+// EndMarker is the data of the event that marks a whole stream.
+const EndMarker = "[DONE]"
 
 // Frame is one chunk of a stream.
 type Frame struct {
--- a/internal/engine/prober/prober.go
+++ b/internal/engine/prober/prober.go
@@ -32,13 +32,13 @@
 	maxFindings = 64
 )
 
-// Finding is what a probe found.
-type Finding int
+// Result is what a probe found.
+type Result int
 
 // The findings.
 const (
 	// Unknown: no answer came in time, or no probe was made.
-	Unknown Finding = iota
+	Unknown Result = iota
 	// Listening: a process takes connections there.
 	Listening
 	// Refused: the host answers that no process does.
@@ -46,7 +46,7 @@
 )
 
 // String is for logs.
-func (f Finding) String() string { return [...]string{"unknown", "listening", "refused"}[f] }
+func (f Result) String() string { return [...]string{"unknown", "listening", "refused"}[f] }
 
 // Dialer opens connections.
 type Dialer interface {
@@ -70,7 +70,7 @@
 	begun time.Time
 	// done is closed once finding is set.
 	done    chan struct{}
-	finding Finding
+	finding Result
 }
 
 // New returns a prober.
@@ -78,7 +78,7 @@
 
 // Probe tells whether a process listens at an address. Those that ask at the same time
 // share one connection.
-func (p *Prober) Probe(ctx context.Context, address string) Finding {
+func (p *Prober) Probe(ctx context.Context, address string) Result {
 	one, first := p.share(address)
 	if one == nil {
 		return Unknown
@@ -118,7 +118,7 @@
 	return one, true
 }
 
-func (p *Prober) dial(ctx context.Context, address string) Finding {
+func (p *Prober) dial(ctx context.Context, address string) Result {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	conn, err := p.c.Dialer.DialContext(ctx, "tcp", address)
--- a/internal/engine/prober/prober_test.go
+++ b/internal/engine/prober/prober_test.go
@@ -39,7 +39,7 @@
 	for _, c := range []struct {
 		name string
 		d    *dialer
-		want Finding
+		want Result
 	}{
 		{"a process listens", &dialer{after: time.Millisecond}, Listening},
 		{"the process has ended", &dialer{after: time.Millisecond, err: syscall.ECONNREFUSED}, Refused},
--- a/internal/engine/sender/sender.go
+++ b/internal/engine/sender/sender.go
@@ -43,13 +43,13 @@
 var (
 	// ErrUnsent: no byte of the request left this host.
 	ErrUnsent = errors.New("request not sent")
-	// ErrWithdrawn: the request was not to be sent any more once the connection
+	// ErrCanceled: the request was not to be sent any more once the connection
 	// stood; nothing left this host.
-	ErrWithdrawn = errors.New("request withdrawn before it was sent")
-	// ErrLost: the request may have been received, and no answer came.
-	ErrLost = errors.New("no answer")
-	// ErrBroken: the answer was not understood, or ended early.
-	ErrBroken = errors.New("answer broken")
+	ErrCanceled = errors.New("request withdrawn before it was sent")
+	// ErrNoResponse: the request may have been received, and no answer came.
+	ErrNoResponse = errors.New("no answer")
+	// ErrBadResponse: the answer was not understood, or ended early.
+	ErrBadResponse = errors.New("answer broken")
 )
 
 const (
@@ -78,8 +78,8 @@
 // Config names the sender's collaborators.
 type Config struct {
 	Dialer Dialer
-	// Opened is told of each new connection; may be nil.
-	Opened func()
+	// OnConnect is told of each new connection; may be nil.
+	OnConnect func()
 }
 
 // Message is one request as it goes out.
@@ -93,9 +93,9 @@
 	// Ready is asked right before the first byte goes out, after the time that
 	// a connection takes; nil for always.
 	Ready func() bool
-	// Own tells whether an answer's headers belong to this request; an answer
+	// Matches tells whether an answer's headers belong to this request; an answer
 	// to another one is skipped. Nil for any.
-	Own func(http.Header) bool
+	Matches func(http.Header) bool
 	// KeepAlive reads from an answer how long the connection may stay idle.
 	KeepAlive func(http.Header) time.Duration
 }
@@ -118,8 +118,8 @@
 
 // New returns a sender without connections.
 func New(c Config) *Sender {
-	if c.Opened == nil {
-		c.Opened = func() {}
+	if c.OnConnect == nil {
+		c.OnConnect = func() {}
 	}
 	return &Sender{c: c, idle: make(map[string][]*link)}
 }
@@ -148,7 +148,7 @@
 	}
 	if m.Ready != nil && !m.Ready() {
 		_ = l.Close()
-		return nil, ErrWithdrawn
+		return nil, ErrCanceled
 	}
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	r, err := newRequest(m)
@@ -169,7 +169,7 @@
 		if w.n == 0 {
 			return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
 		}
-		return nil, fmt.Errorf("%w: %w", ErrLost, err)
+		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
 	x, err := s.answer(l, r, m)
 	if err != nil {
@@ -184,13 +184,13 @@
 func (s *Sender) answer(l *link, r *http.Request, m *Message) (*Exchange, error) {
 	for range maxStray + 1 {
 		if _, err := l.reader.Peek(1); err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrLost, err)
+			return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 		}
 		resp, err := http.ReadResponse(l.reader, r) //nolint:bodyclose // Exchange.Close ends it
 		if err != nil {
-			return nil, fmt.Errorf("%w: %w", ErrBroken, err)
+			return nil, fmt.Errorf("%w: %w", ErrBadResponse, err)
 		}
-		if m.Own == nil || m.Own(resp.Header) {
+		if m.Matches == nil || m.Matches(resp.Header) {
 			x := &Exchange{Status: resp.StatusCode, Header: resp.Header, s: s, l: l, keep: !resp.Close}
 			x.Body = &body{ReadCloser: resp.Body, x: x}
 			l.keep = defaultKeep
@@ -206,7 +206,7 @@
 			break
 		}
 	}
-	return nil, fmt.Errorf("%w: an answer to another request", ErrBroken)
+	return nil, fmt.Errorf("%w: an answer to another request", ErrBadResponse)
 }
 
 func newRequest(m *Message) (*http.Request, error) {
@@ -245,7 +245,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.c.Opened()
+	s.c.OnConnect()
 	return &link{Conn: conn, address: address, reader: bufio.NewReaderSize(conn, readBuffer)}, nil
 }
 
--- a/internal/engine/sender/sender_test.go
+++ b/internal/engine/sender/sender_test.go
@@ -18,7 +18,7 @@
 func newSender(t *testing.T) (*Sender, *atomic.Int32) {
 	t.Helper()
 	opened := new(atomic.Int32)
-	return New(Config{Dialer: &net.Dialer{}, Opened: func() { opened.Add(1) }}), opened
+	return New(Config{Dialer: &net.Dialer{}, OnConnect: func() { opened.Add(1) }}), opened
 }
 
 func serve(t *testing.T, e *hosting.Engine) string {
@@ -32,7 +32,7 @@
 	return &Message{
 		Address: address, Method: http.MethodPost, Target: "/x/a%2Fb?c=%20", Host: "desk.example", Body: []byte("body"),
 		Header: http.Header{"Request-Id": {id}},
-		Own:    func(h http.Header) bool { return h.Get("Request-Id") == id },
+		Matches:    func(h http.Header) bool { return h.Get("Request-Id") == id },
 	}
 }
 
@@ -101,7 +101,7 @@
 	}
 	dropping := hosting.NewEngine(hosting.Config{ID: "i-1"})
 	dropping.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.CloseUnanswered })
-	if _, err := exchange(t, s, message(serve(t, dropping), "r")); !errors.Is(err, ErrLost) {
+	if _, err := exchange(t, s, message(serve(t, dropping), "r")); !errors.Is(err, ErrNoResponse) {
 		t.Errorf("no answer: %v", err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -120,7 +120,7 @@
 			_ = c.Close()
 		}
 	}()
-	if _, err := exchange(t, s, message(l.Addr().String(), "r")); !errors.Is(err, ErrBroken) {
+	if _, err := exchange(t, s, message(l.Addr().String(), "r")); !errors.Is(err, ErrBadResponse) {
 		t.Errorf("no HTTP: %v", err)
 	}
 }
@@ -149,7 +149,7 @@
 	}()
 	leaving.Store(true)
 	close(d.let)
-	if err := <-done; !errors.Is(err, ErrWithdrawn) {
+	if err := <-done; !errors.Is(err, ErrCanceled) {
 		t.Errorf("error %v", err)
 	}
 	if n := e.Received(); n != 0 {
--- a/internal/fleet/orderer/orderer.go
+++ b/internal/fleet/orderer/orderer.go
@@ -40,7 +40,7 @@
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/fleet/sizer"
 	"brasschute/internal/platform/object"
-	"brasschute/internal/route/demander"
+	"brasschute/internal/route/demandmeter"
 
 	"github.com/charmbracelet/log"
 )
@@ -104,7 +104,7 @@
 type Service struct {
 	Service identifier.Service
 	Scale   *catalog.Scale
-	Demand  demander.Demand
+	Demand  demandmeter.Demand
 	// Capacity is what one endpoint takes.
 	Capacity sizer.Capacity
 	Zones    []sizer.Zone
@@ -239,8 +239,8 @@
 	for i := range in.Zones {
 		z := &in.Zones[i]
 		t := o.state(s, z.Zone, document.ClassReclaimable)
-		z.Dry, z.Coming = t.isDry(now), t.coming(s.Scale.Boot, now)
-		z.OnDemand = o.state(s, z.Zone, document.ClassOnDemand).coming(s.Scale.Boot, now)
+		z.Dry, z.Coming = t.isDry(now), t.coming(s.Scale.BootTime, now)
+		z.OnDemand = o.state(s, z.Zone, document.ClassOnDemand).coming(s.Scale.BootTime, now)
 	}
 	return sizer.Size(in)
 }
@@ -307,7 +307,7 @@
 // that its load is not known. Before them, what a new fleet found is cut to size.
 func (o *Orderer) firstLoad(s *Service, now time.Time) bool {
 	at, ok := o.asked[s.Service]
-	if !ok && s.Demand != (demander.Demand{}) {
+	if !ok && s.Demand != (demandmeter.Demand{}) {
 		at, ok = now, true
 		o.asked[s.Service] = now
 	}
--- a/internal/fleet/orderer/orderer_test.go
+++ b/internal/fleet/orderer/orderer_test.go
@@ -14,7 +14,7 @@
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/fleet/sizer"
 	"brasschute/internal/platform/object"
-	"brasschute/internal/route/demander"
+	"brasschute/internal/route/demandmeter"
 )
 
 // cloud keeps what was ordered. Reclaimable endpoints start at once, unless none
@@ -84,8 +84,8 @@
 func (c *cloud) service(tokens float64) []Service {
 	c.boots()
 	s := Service{
-		Service: "lm", Demand: demander.Demand{Tokens: tokens}, Capacity: sizer.Capacity{Tokens: 14_000, Running: 40},
-		Scale: &catalog.Scale{Min: 1, Max: c.most, ReclaimablePrice: 0.15, Prices: map[identifier.AvailabilityZone]float64{"a": 1, "b": 1, "c": 1, "d": 1}},
+		Service: "lm", Demand: demandmeter.Demand{Tokens: tokens}, Capacity: sizer.Capacity{Tokens: 14_000, Running: 40},
+		Scale: &catalog.Scale{Min: 1, Max: c.most, ReclaimablePriceRatio: 0.15, Prices: map[identifier.AvailabilityZone]float64{"a": 1, "b": 1, "c": 1, "d": 1}},
 	}
 	for z := range c.onDemand {
 		s.Zones = append(s.Zones, sizer.Zone{Zone: z, OnDemand: c.onDemand[z], Reclaimable: c.reclaimable[z]})
--- a/internal/fleet/promoter/promoter.go
+++ b/internal/fleet/promoter/promoter.go
@@ -136,13 +136,13 @@
 	known := make(map[uint64]bool, len(in.Orders))
 	for i := range in.Orders {
 		o := &in.Orders[i]
-		id := o.Order()
+		id := o.OrderID()
 		known[id] = true
 		t := p.trials[id]
 		if t == nil {
 			t = &trial{counts: make(map[countKey]splitter.Tally), ends: o.Ends}
 			if t.ends.IsZero() {
-				t.ends = o.Since.Add(o.Duration - o.Lead(p.c.Share))
+				t.ends = o.Since.Add(o.Duration - o.CutoverLead(p.c.Share))
 			}
 			p.trials[id] = t
 		}
@@ -161,21 +161,21 @@
 // step brings one order forward.
 func (t *trial) step(o *splitter.Order, in *Input) (Step, bool) {
 	t.phase = max(t.phase, o.Phase)
-	if o.Stored.Final() {
+	if o.Stored.IsFinal() {
 		return Step{}, false
 	}
-	t.count(o.Order(), in.Tallies)
+	t.count(o.OrderID(), in.Tallies)
 	before := t.phase
 	reason := t.advance(o, in)
 	return Step{
 		Order: o.Rollout, Phase: t.phase, Ends: t.ends, News: t.phase != before, Reason: reason, Evidence: t.evidence,
-		Store: t.phase == rollout.Ordered || t.phase.Final(),
+		Store: t.phase == rollout.Ordered || t.phase.IsFinal(),
 	}, true
 }
 
 // advance takes the next phase if it is time, and says why.
 func (t *trial) advance(o *splitter.Order, in *Input) string {
-	if t.phase.Final() || t.phase == rollout.Ordered {
+	if t.phase.IsFinal() || t.phase == rollout.Ordered {
 		return ""
 	}
 	if in.Now.Sub(t.looked) >= looks {
@@ -219,7 +219,7 @@
 // lacks says what must come before requests may move; nothing if they may.
 func (t *trial) lacks(o *splitter.Order, in *Input) string {
 	endpoints := in.Endpoints(o.Service)
-	old := o.Old(endpoints)
+	old := o.CountOld(endpoints)
 	switch n := endpoints[o.Target]; {
 	case float64(n) < leastPart*float64(old) || n == 0:
 		return fmt.Sprintf("%d endpoints of the new version, %d of the old", n, old)
@@ -231,7 +231,7 @@
 
 // Lacks says what keeps an order from moving on, for whoever looks at it.
 func (p *Promoter) Lacks(o *splitter.Order, in *Input) string {
-	if t := p.trials[o.Order()]; t != nil && t.phase == rollout.Trying {
+	if t := p.trials[o.OrderID()]; t != nil && t.phase == rollout.Trying {
 		return t.lacks(o, in)
 	}
 	return ""
--- a/internal/fleet/promoter/world_test.go
+++ b/internal/fleet/promoter/world_test.go
@@ -213,7 +213,7 @@
 		}
 		w.beat++
 		g := splitter.Grant{
-			Service: service, Target: newVersion, Order: step.Order.Order(), Phase: step.Phase, Fencing: 1, Beat: w.beat, Said: w.now, Ends: step.Ends,
+			Service: service, Target: newVersion, Order: step.Order.OrderID(), Phase: step.Phase, Fencing: 1, Beat: w.beat, Said: w.now, Ends: step.Ends,
 		}
 		if g.Phase == rollout.Complete {
 			g.Phase = rollout.Switching
--- a/internal/fleet/reconciler/reconciler.go
+++ b/internal/fleet/reconciler/reconciler.go
@@ -85,7 +85,7 @@
 }
 
 func (r *Reconciler) round(ctx context.Context) {
-	s := r.c.Keeper.InForce()
+	s := r.c.Keeper.Current()
 	if _, held := r.c.Lease.Held(); !held || s == nil {
 		return
 	}
--- a/internal/fleet/repairer/repairer.go
+++ b/internal/fleet/repairer/repairer.go
@@ -136,7 +136,7 @@
 // round does what can be done now. Any failure ends it; the next one starts
 // from the record.
 func (r *Repairer) round(ctx context.Context) {
-	s := r.c.Keeper.InForce()
+	s := r.c.Keeper.Current()
 	if _, held := r.c.Lease.Held(); !held || s == nil {
 		r.known = false
 		return
--- a/internal/fleet/sizer/sizer.go
+++ b/internal/fleet/sizer/sizer.go
@@ -31,7 +31,7 @@
 
 	"brasschute/internal/config/catalog"
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/route/demander"
+	"brasschute/internal/route/demandmeter"
 )
 
 const (
@@ -79,7 +79,7 @@
 }
 
 // Need returns how many endpoints the demand asks for.
-func (c Capacity) Need(d demander.Demand) float64 {
+func (c Capacity) Need(d demandmeter.Demand) float64 {
 	return max(d.Tokens/max(c.Tokens, 1), float64(d.Running)/max(c.Running, 1))
 }
 
@@ -151,7 +151,7 @@
 // spare ones for the loss of a zone.
 func (p *plan) worthReclaiming() bool {
 	n := float64(len(p.zones))
-	return n > 1 && p.in.Scale.ReclaimablePrice > 0 && p.in.Scale.ReclaimablePrice*n/(n-1) < 1
+	return n > 1 && p.in.Scale.ReclaimablePriceRatio > 0 && p.in.Scale.ReclaimablePriceRatio*n/(n-1) < 1
 }
 
 // reclaimable spreads the need over the zones so that any one zone's may go. Where
--- a/internal/fleet/sizer/sizer_test.go
+++ b/internal/fleet/sizer/sizer_test.go
@@ -8,13 +8,13 @@
 
 	"brasschute/internal/config/catalog"
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/route/demander"
+	"brasschute/internal/route/demandmeter"
 )
 
 var prices = map[identifier.AvailabilityZone]float64{"a": 1, "b": 0.8, "c": 1.25, "d": 0.9}
 
 func scale() *catalog.Scale {
-	return &catalog.Scale{Min: 1, Max: 6, ReclaimablePrice: 0.15, Prices: prices}
+	return &catalog.Scale{Min: 1, Max: 6, ReclaimablePriceRatio: 0.15, Prices: prices}
 }
 
 func zones(onDemand, reclaimable int) []Zone {
@@ -75,7 +75,7 @@
 // drawn is any pool that may be listed.
 func drawn(t *rapid.T) *Input {
 	in := &Input{Scale: scale(), Need: rapid.Float64Range(0, 18).Draw(t, "need")}
-	in.Scale.ReclaimablePrice = rapid.SampledFrom([]float64{0, 0.15, 0.3, 0.74, 0.9, 1}).Draw(t, "price")
+	in.Scale.ReclaimablePriceRatio = rapid.SampledFrom([]float64{0, 0.15, 0.3, 0.74, 0.9, 1}).Draw(t, "price")
 	for zone := range prices {
 		z := Zone{
 			Zone: zone, OnDemand: rapid.IntRange(0, 6).Draw(t, "od"+string(zone)),
@@ -161,7 +161,7 @@
 func TestDearReclaimableEndpointsAreNotOrdered(t *testing.T) {
 	for _, price := range []float64{0, 0.8, 1} {
 		in := &Input{Scale: scale(), Need: 8, Zones: zones(2, 0)}
-		in.Scale.ReclaimablePrice = price
+		in.Scale.ReclaimablePriceRatio = price
 		onDemand, reclaimable := total(Size(in))
 		if reclaimable != 0 || onDemand < 9 {
 			t.Errorf("price %.1f: %d on demand and %d reclaimable for a need of 8", price, onDemand, reclaimable)
@@ -193,7 +193,7 @@
 // Engines with 16 slots take fewer requests than those with 128: by tokens alone 12
 // engines were wanted for 300 running requests, and each new one waited for a slot.
 func TestFewSlotsWantMoreEngines(t *testing.T) {
-	demand := demander.Demand{Tokens: 12 * 14_000, Running: 300}
+	demand := demandmeter.Demand{Tokens: 12 * 14_000, Running: 300}
 	if need := CapacityOf(14_000/busyPart, 16).Need(demand); need*16 < 300 {
 		t.Errorf("%.0f engines of 16 slots for 300 requests", need)
 	}
--- a/internal/fleet/trail/trail.go
+++ b/internal/fleet/trail/trail.go
@@ -69,7 +69,7 @@
 // New returns a trail.
 func New(c Config) *Trail { return &Trail{c} }
 
-func (t *Trail) key() string { return inventory.TrailPrefix + "zone/" + string(t.c.Zone) }
+func (t *Trail) key() string { return inventory.AuditPrefix + "zone/" + string(t.c.Zone) }
 
 // Add appends entries. After a lost answer it reads back before it repeats.
 func (t *Trail) Add(ctx context.Context, entries ...Entry) error {
--- a/internal/measure/loadgenerator/sender.go
+++ b/internal/measure/loadgenerator/sender.go
@@ -152,7 +152,7 @@
 		if !ok {
 			continue
 		}
-		if data == frame.End {
+		if data == frame.EndMarker {
 			sample.Refused = ""
 			return
 		}
--- a/internal/ops/operator/operator.go
+++ b/internal/ops/operator/operator.go
@@ -178,7 +178,7 @@
 	var mu sync.Mutex
 	var left []*rpc.Member
 	o.each(ctx, peers, func(ctx context.Context, m *rpc.Member, p rpc.Peer) {
-		reply, err := p.Offer(ctx, exchanger.Reply(o.c.Keeper.InForce()))
+		reply, err := p.Offer(ctx, exchanger.Reply(o.c.Keeper.Current()))
 		mu.Lock()
 		defer mu.Unlock()
 		reached[m.Host] = reached[m.Host] || err == nil
@@ -209,7 +209,7 @@
 
 // Get returns the configuration in force at this daemon.
 func (o *Operator) Get(context.Context, *rpc.ConfigurationRequest) (*rpc.ConfigurationReply, error) {
-	s := o.c.Keeper.InForce()
+	s := o.c.Keeper.Current()
 	if s == nil {
 		return nil, twirp.NotFoundError("no configuration is in force yet; apply one with --from 0")
 	}
@@ -244,7 +244,7 @@
 	self := o.c.Ledger.Self()
 	out := &rpc.StatusReply{
 		Host: self.Host, AvailabilityZone: self.AvailabilityZone, State: o.c.State(),
-		ConfigurationNumber: uint64(o.c.Keeper.Number()), RefusedConfiguration: o.c.Keeper.Refused(),
+		ConfigurationNumber: uint64(o.c.Keeper.Number()), RefusedConfiguration: o.c.Keeper.LastRefusal(),
 		PlatformReachable: o.c.PlatformReachable(), Members: o.c.Ledger.Members(), RequestsInFlight: uint32(o.c.InFlight()),
 	}
 	endpoints := o.c.Registry.Endpoints()
@@ -257,7 +257,7 @@
 
 // repairs compares each pool with its wanted size, zone by zone.
 func (o *Operator) repairs(ctx context.Context) []*rpc.RepairStatus {
-	s := o.c.Keeper.InForce()
+	s := o.c.Keeper.Current()
 	if s == nil {
 		return nil
 	}
--- a/internal/peer/exchanger/exchanger.go
+++ b/internal/peer/exchanger/exchanger.go
@@ -327,7 +327,7 @@
 
 // Configuration returns the configuration in force.
 func (x *Exchanger) Configuration(context.Context, *rpc.ConfigurationRequest) (*rpc.ConfigurationReply, error) {
-	s := x.c.Keeper.InForce()
+	s := x.c.Keeper.Current()
 	if s == nil {
 		return nil, twirp.NotFoundError("no configuration in force")
 	}
--- a/internal/platform/client/client.go
+++ b/internal/platform/client/client.go
@@ -160,7 +160,7 @@
 	}
 	resp, err := c.http.DoAfter(req, wait)
 	if err != nil {
-		return object.Lost(method, err)
+		return object.ClassifyError(method, err)
 	}
 	defer resp.Body.Close()
 	if at, err := http.ParseTime(resp.Header.Get("Date")); err == nil {
@@ -171,7 +171,7 @@
 	}
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
-		return object.Lost(method, err)
+		return object.ClassifyError(method, err)
 	}
 	if out == nil {
 		return nil
--- a/internal/platform/inventory/inventory.go
+++ b/internal/platform/inventory/inventory.go
@@ -29,7 +29,7 @@
 	ConfigurationPrefix = "config/"
 	ClaimPrefix         = "claims/"
 	LeasePrefix         = "leases/"
-	TrailPrefix         = "trail/"
+	AuditPrefix         = "trail/"
 	HeldPrefix          = "held/"
 	RepairPrefix        = "repairs/"
 )
--- a/internal/platform/object/object.go
+++ b/internal/platform/object/object.go
@@ -60,10 +60,10 @@
 	Unreadable []error
 }
 
-// Lost classifies a call over HTTP that got no whole answer. Only a failed dial
+// ClassifyError classifies a call over HTTP that got no whole answer. Only a failed dial
 // proves that a write did not reach the store; after that the answer may have been
 // lost on its way back, so the write may stand.
-func Lost(method string, err error) error {
+func ClassifyError(method string, err error) error {
 	var op *net.OpError
 	if method == http.MethodGet || errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
--- a/internal/platform/registrar/registrar.go
+++ b/internal/platform/registrar/registrar.go
@@ -7,7 +7,7 @@
 // what it has cached, how loaded it is. An endpoint says when it was born, by its own
 // clock; clocks go back, so the time only tells that two lives differ, and which one is
 // the newer is told by the revisions of its records in the platform's store. What is
-// heard from elsewhere counts for the present life only ([Registrar.Told]).
+// heard from elsewhere counts for the present life only ([Registrar.Current]).
 //
 // # Numbers
 //
@@ -37,9 +37,9 @@
 var (
 	// ErrStale: a newer record of the endpoint is known.
 	ErrStale = errors.New("registrar: a newer record of the endpoint is known")
-	// ErrUnborn: the record lacks the time of birth that an earlier one had, so the
+	// ErrNoStartTime: the record lacks the time of birth that an earlier one had, so the
 	// endpoint did not write it.
-	ErrUnborn = errors.New("registrar: the record lacks the time of birth, which earlier ones had")
+	ErrNoStartTime = errors.New("registrar: the record lacks the time of birth, which earlier ones had")
 )
 
 type life struct {
@@ -58,9 +58,9 @@
 	lives map[identifier.Endpoint]life
 }
 
-// Record returns the life of which a record in the store tells. born is 0 where the
+// Register returns the life of which a record in the store tells. born is 0 where the
 // endpoint does not say it.
-func (r *Registrar) Record(e identifier.Endpoint, born identifier.Born, revision uint64) (identifier.Incarnation, error) {
+func (r *Registrar) Register(e identifier.Endpoint, born identifier.Born, revision uint64) (identifier.Incarnation, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, ok := r.lives[e]
@@ -68,7 +68,7 @@
 	case ok && revision < known.revision:
 		return 0, ErrStale
 	case ok && born == 0 && known.born != 0:
-		return 0, ErrUnborn
+		return 0, ErrNoStartTime
 	case ok && born == known.born:
 		known.revision = revision
 	default:
@@ -97,8 +97,8 @@
 	}
 }
 
-// Told returns the present life of an endpoint, if it is the one born then.
-func (r *Registrar) Told(e identifier.Endpoint, born identifier.Born) (identifier.Incarnation, bool) {
+// Current returns the present life of an endpoint, if it is the one born then.
+func (r *Registrar) Current(e identifier.Endpoint, born identifier.Born) (identifier.Incarnation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, ok := r.lives[e]
@@ -108,9 +108,9 @@
 	return known.number, true
 }
 
-// ToldByID returns the present life of an endpoint of which a peer told that does not tell
+// CurrentByID returns the present life of an endpoint of which a peer told that does not tell
 // lives apart, if no other life is known that it may have meant.
-func (r *Registrar) ToldByID(e identifier.Endpoint) (identifier.Incarnation, bool) {
+func (r *Registrar) CurrentByID(e identifier.Endpoint) (identifier.Incarnation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, ok := r.lives[e]
--- a/internal/platform/registrar/registrar_test.go
+++ b/internal/platform/registrar/registrar_test.go
@@ -12,7 +12,7 @@
 
 func record(t *testing.T, r *Registrar, born identifier.Born, revision uint64) identifier.Incarnation {
 	t.Helper()
-	n, err := r.Record("i-1", born, revision)
+	n, err := r.Register("i-1", born, revision)
 	if err != nil {
 		t.Fatalf("born %d at revision %d: %v", born, revision, err)
 	}
@@ -28,7 +28,7 @@
 	if second <= first {
 		t.Errorf("life %d after %d", second, first)
 	}
-	if _, err := r.Record("i-1", 100_000, 5); !errors.Is(err, ErrStale) {
+	if _, err := r.Register("i-1", 100_000, 5); !errors.Is(err, ErrStale) {
 		t.Errorf("the record before came back, error %v", err)
 	}
 	if n := record(t, &r, 40_000, 9); n != second {
@@ -39,24 +39,24 @@
 // A note of a peer comes late, after the endpoint has started again.
 func TestLateNewsIsOfTheLifeItMeans(t *testing.T) {
 	var r Registrar
-	if _, known := r.Told("i-1", 1); known {
+	if _, known := r.Current("i-1", 1); known {
 		t.Error("an endpoint is known that nobody has listed")
 	}
 	first := record(t, &r, 1, 5)
-	if n, known := r.Told("i-1", 1); !known || n != first {
+	if n, known := r.Current("i-1", 1); !known || n != first {
 		t.Errorf("life %d, known %v", n, known)
 	}
-	if n, known := r.ToldByID("i-1"); !known || n != first {
+	if n, known := r.CurrentByID("i-1"); !known || n != first {
 		t.Errorf("of a peer of the version before: life %d, known %v", n, known)
 	}
 	second := record(t, &r, 2, 6)
-	if _, known := r.Told("i-1", 1); known {
+	if _, known := r.Current("i-1", 1); known {
 		t.Error("news of the first life counts for the second")
 	}
-	if n, known := r.Told("i-1", 2); !known || n != second {
+	if n, known := r.Current("i-1", 2); !known || n != second {
 		t.Errorf("life %d, known %v", n, known)
 	}
-	if _, known := r.ToldByID("i-1"); known {
+	if _, known := r.CurrentByID("i-1"); known {
 		t.Error("news that may be of the first life counts for the second")
 	}
 }
@@ -70,7 +70,7 @@
 	if first == never {
 		t.Error("an endpoint that begins to say when it was born is the same life")
 	}
-	if _, err := r.Record("i-1", 0, 5); !errors.Is(err, ErrUnborn) {
+	if _, err := r.Register("i-1", 0, 5); !errors.Is(err, ErrNoStartTime) {
 		t.Errorf("error %v", err)
 	}
 	if n := record(t, &r, 7, 6); n != first {
@@ -90,7 +90,7 @@
 		var last identifier.Incarnation
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			at := uint64(rapid.IntRange(1, len(births)).Draw(t, "at"))
-			n, err := r.Record("i-1", births[at-1], at)
+			n, err := r.Register("i-1", births[at-1], at)
 			if errors.Is(err, ErrStale) != (at < revision) {
 				t.Fatalf("revision %d after %d: %v", at, revision, err)
 			}
@@ -102,7 +102,7 @@
 				t.Fatalf("life %d after %d", n, last)
 			}
 			last = n
-			if told, known := r.Told("i-1", births[at-1]); !known || told != n {
+			if told, known := r.Current("i-1", births[at-1]); !known || told != n {
 				t.Fatalf("life %d, %d is present", told, n)
 			}
 		}
@@ -112,14 +112,14 @@
 func TestMemoryIsBounded(t *testing.T) {
 	var r Registrar
 	for i := range 3 * maxLives {
-		if _, err := r.Record(identifier.Endpoint(fmt.Sprint(i)), 1, uint64(i+1)); err != nil {
+		if _, err := r.Register(identifier.Endpoint(fmt.Sprint(i)), 1, uint64(i+1)); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if len(r.lives) > maxLives {
 		t.Errorf("%d lives are remembered", len(r.lives))
 	}
-	if _, known := r.Told(identifier.Endpoint(fmt.Sprint(3*maxLives-1)), 1); !known {
+	if _, known := r.Current(identifier.Endpoint(fmt.Sprint(3*maxLives-1)), 1); !known {
 		t.Error("the newest life is forgotten")
 	}
 }
--- a/internal/platform/watcher/watcher.go
+++ b/internal/platform/watcher/watcher.go
@@ -82,15 +82,15 @@
 	// than the platform; may be nil. A list ends those of them that it does not
 	// show and that are not newer.
 	Known func() map[string]uint64
-	// Listed is told of each list before its objects are applied; may be nil.
-	Listed func(List)
+	// OnList is told of each list before its objects are applied; may be nil.
+	OnList func(List)
 	// Idle tells that others follow the objects for this daemon, and no call
 	// need be made; nil for never.
 	Idle func() bool
-	// Report is told of each success (nil) and failure; may be nil.
-	Report func(error)
-	// Unreadable is told of entries that could not be read; may be nil.
-	Unreadable func([]error)
+	// OnResult is told of each success (nil) and failure; may be nil.
+	OnResult func(error)
+	// OnUnreadable is told of entries that could not be read; may be nil.
+	OnUnreadable func([]error)
 }
 
 // List describes a list that was made.
@@ -98,8 +98,8 @@
 	Revision uint64
 	// Gap: the platform was not followed right before, so changes have gone unseen.
 	Gap bool
-	// Doubt: objects were missing that may have ended, or lapsed.
-	Doubt bool
+	// Uncertain: objects were missing that may have ended, or lapsed.
+	Uncertain bool
 }
 
 // Watcher follows a set of prefixes.
@@ -126,14 +126,14 @@
 	if c.Known == nil {
 		c.Known = func() map[string]uint64 { return nil }
 	}
-	if c.Report == nil {
-		c.Report = func(error) {}
+	if c.OnResult == nil {
+		c.OnResult = func(error) {}
 	}
-	if c.Unreadable == nil {
-		c.Unreadable = func([]error) {}
+	if c.OnUnreadable == nil {
+		c.OnUnreadable = func([]error) {}
 	}
-	if c.Listed == nil {
-		c.Listed = func(List) {}
+	if c.OnList == nil {
+		c.OnList = func(List) {}
 	}
 	return &Watcher{c: c, seen: make(map[string]uint64), away: true}
 }
@@ -151,7 +151,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		w.c.Report(err)
+		w.c.OnResult(err)
 		w.away = w.away || err != nil
 		if err == nil {
 			pause = firstPause
@@ -231,7 +231,7 @@
 	if !doubt {
 		news = append(news, w.news(ends)...)
 	}
-	w.c.Listed(List{Revision: p.Revision, Gap: gap, Doubt: doubt})
+	w.c.OnList(List{Revision: p.Revision, Gap: gap, Uncertain: doubt})
 	w.apply(news)
 	w.after = max(w.after, p.Revision)
 	switch {
@@ -247,7 +247,7 @@
 // unreadable passes on what could not be read of a page.
 func (w *Watcher) unreadable(p *object.Page) {
 	if len(p.Unreadable) > 0 {
-		w.c.Unreadable(p.Unreadable)
+		w.c.OnUnreadable(p.Unreadable)
 	}
 }
 
--- a/internal/platform/watcher/watcher_test.go
+++ b/internal/platform/watcher/watcher_test.go
@@ -90,7 +90,7 @@
 func (g *guarded) listed(l List) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if l.Doubt {
+	if l.Uncertain {
 		g.doubts++
 	}
 }
@@ -211,7 +211,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		got, missing := &guarded{sink: make(sink)}, 0
 		ctx, cancel := context.WithCancel(t.Context())
-		w := New(Config{Platform: s, Sink: got, Prefixes: []string{""}, Listed: got.listed})
+		w := New(Config{Platform: s, Sink: got, Prefixes: []string{""}, OnList: got.listed})
 		go func() { _ = w.Serve(ctx) }()
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
--- a/internal/role/demonstrator/demonstrator.go
+++ b/internal/role/demonstrator/demonstrator.go
@@ -273,7 +273,7 @@
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
-		if data == frame.End {
+		if data == frame.EndMarker {
 			whole = true
 		}
 		var f frame.Frame
--- a/internal/role/entry/beliefs.go
+++ b/internal/role/entry/beliefs.go
@@ -75,7 +75,7 @@
 // price reads the configuration in force; the registry asks again after each
 // change.
 func (e *Entry) price(zone identifier.AvailabilityZone, class document.Class) float64 {
-	s := e.keeper.InForce()
+	s := e.keeper.Current()
 	if s == nil {
 		return 0
 	}
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -155,7 +155,7 @@
 		Host: string(s.Host), AvailabilityZone: string(s.AvailabilityZone), PeerAddress: s.PeerAddress().String(),
 		Incarnation: uint64(e.started.UnixMilli()),
 	}})
-	e.keeper = keeper.New(keeper.Config{Changed: e.configured, Refuse: e.refusedConfiguration})
+	e.keeper = keeper.New(keeper.Config{OnChange: e.configured, OnRefused: e.refusedConfiguration})
 	e.registry = registry.New(registry.Config{Ledger: e.ledger, Changed: e.endpointsChanged, Price: e.price, Daemons: e.daemons})
 	records := recorder.New(recorder.Config{})
 	kept := holder.New(holder.Config{})
@@ -209,13 +209,13 @@
 	})
 	e.tree = suture.New("entry", suture.Spec{EventHook: e.event})
 	e.tree.Add(watcher.New(watcher.Config{
-		Platform: e.platform, Sink: e, Report: e.platformReport,
+		Platform: e.platform, Sink: e, OnResult: e.platformReport,
 		Prefixes: []string{inventory.ConfigurationPrefix, inventory.HostPrefix, inventory.NoticePrefix, inventory.MemberPrefix},
 	}))
 	e.tree.Add(e.exchanger)
 	e.tree.Add(e.evacuator)
 	e.tree.Add(poller.New(poller.Config{
-		Registry: e.registry, Ledger: e.ledger, Caller: endpoints, Observed: e.exchanger.Observed,
+		Registry: e.registry, Ledger: e.ledger, Caller: endpoints, OnReport: e.exchanger.Observed,
 	}))
 	e.tree.Add(&registrar{e: e})
 	e.tree.Add(&gauges{e: e})
--- a/internal/role/gateway/admission.go
+++ b/internal/role/gateway/admission.go
@@ -5,19 +5,19 @@
 	"time"
 
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/route/allotter"
+	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/budgeter"
 	"brasschute/internal/serve/request"
 )
 
 // Admit admits a request within its organisation's quota.
-func (g *Gateway) Admit(q *request.Request) allotter.Verdict {
+func (g *Gateway) Admit(q *request.Request) quotalimiter.Decision {
 	g.budget(q.Service).Earn()
 	v := g.allotter.Admit(q.Organisation, q.Charge())
 	if q.Organisation != nil && v.Level < -deepTime.Seconds()*q.Organisation.RatePerSecond {
 		g.deep(q, v)
 	}
-	if v.Quiet > 0 {
+	if v.IsolatedFor > 0 {
 		g.alone(q, v)
 	}
 	return v
@@ -33,7 +33,7 @@
 
 // deep counts a request that found its organisation's level far below zero, and writes
 // a line now and then.
-func (g *Gateway) deep(q *request.Request, v allotter.Verdict) {
+func (g *Gateway) deep(q *request.Request, v quotalimiter.Decision) {
 	g.scope.Tagged(map[string]string{"organisation": string(q.Organisation.Name)}).Counter("quota_levels_deep").Inc(1)
 	if !due(&g.deepTold) {
 		return
@@ -44,13 +44,13 @@
 
 // alone counts a request that found this daemon cut off from all others, which holds it to
 // its equal part of each quota, and writes a line now and then.
-func (g *Gateway) alone(q *request.Request, v allotter.Verdict) {
+func (g *Gateway) alone(q *request.Request, v quotalimiter.Decision) {
 	g.scope.Tagged(map[string]string{"organisation": string(q.Organisation.Name)}).Counter("quota_requests_cut_off").Inc(1)
 	if !due(&g.aloneTold) {
 		return
 	}
 	g.c.Logger.Warn("no other daemon is heard, quotas held to the equal part", "request", q.ID, "organisation", q.Organisation.Name,
-		"quiet_ms", v.Quiet.Milliseconds(), "part", int(v.Part), "rate", int(v.Rate), "admitted", v.RetryAfter == 0)
+		"quiet_ms", v.IsolatedFor.Milliseconds(), "part", int(v.ShareLevel), "rate", int(v.Rate), "admitted", v.RetryAfter == 0)
 }
 
 // due tells whether the last line was written linePause ago; if so, it is written now.
@@ -72,7 +72,7 @@
 		bounds := g.c.Deployment.Bounds
 		daemons := max(g.daemons(), g.fleetSize())
 		b = budgeter.New(budgeter.Config{
-			Share:   bounds.RetryShare * budgetMargin,
+			Ratio:   bounds.RetryShare * budgetMargin,
 			Reserve: max(bounds.RetryReserve*budgetMargin/float64(daemons), 1),
 		})
 		g.budgets[s] = b
--- a/internal/role/gateway/beliefs.go
+++ b/internal/role/gateway/beliefs.go
@@ -8,8 +8,8 @@
 
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/core/waiter"
-	"brasschute/internal/route/allotter"
-	"brasschute/internal/route/demander"
+	"brasschute/internal/route/quotalimiter"
+	"brasschute/internal/route/demandmeter"
 	"brasschute/internal/route/pacer"
 	"brasschute/internal/route/quarantiner"
 	"brasschute/internal/route/splitter"
@@ -36,8 +36,8 @@
 	Part      string
 	Peers     []PeerView
 	Endpoints []EndpointView
-	Quotas    map[identifier.Organisation]allotter.Account
-	Demands   map[identifier.Service]demander.Demand
+	Quotas    map[identifier.Organisation]quotalimiter.Account
+	Demands   map[identifier.Service]demandmeter.Demand
 	// Rollouts are the orders that are known, OrdersKnown whether they have been read or
 	// heard of at all.
 	Rollouts    []RolloutView
@@ -108,7 +108,7 @@
 		Limits: g.pacer.Limits(),
 	}
 	b.Rollouts, b.OrdersKnown = g.rolloutBeliefs(), g.splitter.Known()
-	if c := g.versioner.InForce(); c != nil {
+	if c := g.versioner.Current(); c != nil {
 		b.Configuration = c.Number()
 	}
 	if lag, is := g.versioner.Lag(); is {
@@ -150,7 +150,7 @@
 	now, tallies := g.uptime(), g.splitter.Tallies()
 	for _, o := range g.splitter.Orders() {
 		r := RolloutView{
-			Service: o.Service, Target: o.Target, Order: orderName(o.Order()), Phase: o.Phase.String(), Stored: o.Stored.String(),
+			Service: o.Service, Target: o.Target, Order: orderName(o.OrderID()), Phase: o.Phase.String(), Stored: o.Stored.String(),
 			SinceMS: now.Sub(o.Since).Milliseconds(), GrantMS: -1, Asked: o.Asked, Earned: o.Earned, Endpoints: g.versions(o.Service),
 		}
 		if !o.Granted.IsZero() {
--- a/internal/role/gateway/duties.go
+++ b/internal/role/gateway/duties.go
@@ -19,7 +19,7 @@
 	"brasschute/internal/fleet/sizer"
 	"brasschute/internal/peer/gatherer"
 	"brasschute/internal/peer/rpc"
-	"brasschute/internal/route/demander"
+	"brasschute/internal/route/demandmeter"
 	"brasschute/platform"
 
 	"github.com/cespare/xxhash/v2"
@@ -69,7 +69,7 @@
 
 func (g *Gateway) buildDuties() {
 	d := g.c.Deployment
-	if !d.Reports && !d.Orders && !d.Rollouts {
+	if !d.UsageReports && !d.FleetSizing && !d.Rollouts {
 		return
 	}
 	g.lease = leaser.New(leaser.Config{
@@ -79,7 +79,7 @@
 			g.c.Logger.Info("duties", "held", held, "fencing", fencing)
 		},
 	})
-	u := &duties{g: g, cloud: platform.NewCloud(d.Cloud.String(), g.platformCaller()), promoter: promoter.New(promoter.Config{Share: d.Bounds.TrialShare})}
+	u := &duties{g: g, cloud: platform.NewCloud(d.Cloud.String(), g.platformCaller()), promoter: promoter.New(promoter.Config{Share: d.Bounds.CanaryShare})}
 	u.accountant = accountant.New(accountant.Config{
 		Store: g.store, Now: g.clock.Now, Window: d.Bounds.UsageWindow, Due: d.Bounds.UsageDue - dueMargin, Settle: g.settleTime,
 		Counted: u.counted, Organisations: u.organisations, Report: u.report, Logger: g.c.Logger,
@@ -137,10 +137,10 @@
 		}
 		u.keepSize(ctx)
 		u.keepQuarantine(ctx)
-		if u.g.c.Deployment.Reports {
+		if u.g.c.Deployment.UsageReports {
 			u.accountant.Step(ctx, fencing)
 		}
-		if u.g.c.Deployment.Orders {
+		if u.g.c.Deployment.FleetSizing {
 			u.orderer.Step(ctx, fencing, u.services())
 		}
 	})
@@ -211,7 +211,7 @@
 }
 
 func (u *duties) organisations() []identifier.Organisation {
-	c := u.g.versioner.InForce()
+	c := u.g.versioner.Current()
 	if c == nil {
 		return nil
 	}
@@ -251,7 +251,7 @@
 
 // services describes what can be scaled, as it is now.
 func (u *duties) services() []orderer.Service {
-	c := u.g.versioner.InForce()
+	c := u.g.versioner.Current()
 	if c == nil {
 		return nil
 	}
@@ -275,16 +275,16 @@
 	if s.Engine != nil {
 		slots = s.Engine.Slots
 	}
-	return sizer.CapacityOf(float64(u.g.estimator.Of(s.Name, time.Now()).Speed), slots)
+	return sizer.CapacityOf(float64(u.g.estimator.Estimate(s.Name, time.Now()).Speed), slots)
 }
 
 // demands sums those of all daemons.
-func (u *duties) demands() map[identifier.Service]demander.Demand {
+func (u *duties) demands() map[identifier.Service]demandmeter.Demand {
 	out := u.g.demander.Demands()
 	for _, n := range u.g.othersDemands(time.Now()) {
 		s := identifier.Service(n.GetService())
 		sum := out[s]
-		sum.Add(demander.Demand{
+		sum.Add(demandmeter.Demand{
 			Running: int(n.GetRunning()), Requests: n.GetRequestsPerSecond(), Tokens: n.GetTokensPerSecond(), Refused: n.GetRefusedPerSecond(),
 		})
 		out[s] = sum
--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -152,11 +152,11 @@
 		Callers: netip.AddrPortFrom(ip, 80), Readiness: netip.AddrPortFrom(ip, 81), Peers: netip.AddrPortFrom(ip, 82),
 		Store:     netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 200, byte(i / perNet), byte(1 + i%perNet)}), 8225),
 		Seeds:     []netip.AddrPort{netip.MustParseAddrPort("10.1.0.1:82"), netip.MustParseAddrPort("10.2.0.2:82"), netip.MustParseAddrPort("10.3.0.3:82")},
-		LinkBytes: rate,
+		LinkBytesPerSecond: rate,
 		Bounds: deployment.Bounds{
 			DrainTime: applyTime, ApplyTime: applyTime, Grace: 8 * time.Second, LeaseTime: 3 * time.Second,
 			RetryShare: 0.2, RetryReserve: 160, RetryWindow: 10 * time.Second, QuotaWindow: 8 * time.Second, QuotaOverage: 0.1,
-			UsageWindow: 5 * time.Second, UsageDue: 10 * time.Second, CacheTime: 10 * time.Second,
+			UsageWindow: 5 * time.Second, UsageDue: 10 * time.Second, PrefixCacheTTL: 10 * time.Second,
 		},
 	}
 	if f.adjust != nil {
--- a/internal/role/gateway/following.go
+++ b/internal/role/gateway/following.go
@@ -36,15 +36,15 @@
 	return watcher.New(watcher.Config{
 		Platform: g.store, Sink: sink(g.take), Prefixes: []string{kind}, Idle: func() bool { return !g.follows() },
 		Known: func() map[string]uint64 { return g.mirror.Known(kind) },
-		Listed: func(l watcher.List) {
-			g.mirror.Listed(kind, l.Revision, l.Gap, l.Doubt)
-			if l.Doubt {
+		OnList: func(l watcher.List) {
+			g.mirror.Listed(kind, l.Revision, l.Gap, l.Uncertain)
+			if l.Uncertain {
 				// The mirror's revision stays what it was before the list.
 				go g.ask(kind, g.mirror.Revision(kind))
 			}
 		},
-		Wait: wait, Unreadable: g.unreadable,
-		Report: func(err error) {
+		Wait: wait, OnUnreadable: g.unreadable,
+		OnResult: func(err error) {
 			if err == nil {
 				g.storeHeard.Store(time.Now().UnixNano())
 			}
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -63,9 +63,9 @@
 	"brasschute/internal/peer/supplier"
 	"brasschute/internal/peer/swapper"
 	"brasschute/internal/platform/registrar"
-	"brasschute/internal/route/allotter"
+	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/budgeter"
-	"brasschute/internal/route/demander"
+	"brasschute/internal/route/demandmeter"
 	"brasschute/internal/route/estimator"
 	"brasschute/internal/route/pacer"
 	"brasschute/internal/route/registry"
@@ -166,7 +166,7 @@
 
 	clock    *chronometer.Chronometer
 	tallier  *tallier.Tallier
-	allotter *allotter.Allotter
+	allotter *quotalimiter.Limiter
 	// deepTold is when a level far below zero was last written down, aloneTold when that
 	// this daemon is cut off.
 	deepTold  atomic.Int64
@@ -175,7 +175,7 @@
 	refusedTold atomic.Int64
 	// estimator learns how fast engines are.
 	estimator estimator.Estimator
-	demander  demander.Demander
+	demander  demandmeter.Meter
 	// splitter splits requests between versions of endpoints.
 	splitter *splitter.Splitter
 	// pacer holds requests to what endpoints say they take; limitLines bounds its lines.
@@ -269,9 +269,9 @@
 	g.roster = roster.New(roster.Config{Host: d.Host, Zone: d.AvailabilityZone, Address: d.Peers.String()})
 	g.aggregator = aggregator.New(aggregator.Config{Host: d.Host, Zone: d.AvailabilityZone, Start: g.started})
 	g.tallier = tallier.New(tallier.Config{Window: d.Bounds.UsageWindow, Keep: d.Bounds.UsageDue, Now: g.clock.Now})
-	g.allotter = allotter.New(allotter.Config{
-		Window: d.Bounds.QuotaWindow, Overage: d.Bounds.QuotaOverage, Slack: d.Bounds.QuotaSlack, Daemons: g.fleetSize,
-		News: func() time.Duration { return g.swapper.NewsAge() },
+	g.allotter = quotalimiter.New(quotalimiter.Config{
+		Window: d.Bounds.QuotaWindow, Overage: d.Bounds.QuotaOverage, Slack: d.Bounds.QuotaSlack, FleetSize: g.fleetSize,
+		GossipDelay: func() time.Duration { return g.swapper.NewsAge() },
 	})
 	g.budgets = make(map[identifier.Service]*budgeter.Budgeter)
 	g.ledger = ledger.New(ledger.Config{Self: &rpc.Member{Host: string(d.Host), AvailabilityZone: string(d.AvailabilityZone), PeerAddress: d.Peers.String()}})
@@ -279,11 +279,11 @@
 	g.restNotes = restNotes()
 	g.registry = registry.New(registry.Config{Ledger: g.ledger, Daemons: g.daemons, Pacer: g.pacer})
 	g.splitter = splitter.New(splitter.Config{
-		Share: d.Bounds.TrialShare, Slack: d.Bounds.TrialSlack, Leave: d.Bounds.RevertTime, Now: g.uptime, Daemons: g.fleetSize,
+		Share: d.Bounds.CanaryShare, Slack: d.Bounds.CanarySlack, Leave: d.Bounds.RollbackTime, Now: g.uptime, Daemons: g.fleetSize,
 		Endpoints: g.versions, Changed: g.rolloutChanged, Counted: g.rolloutCounted,
 	})
 	opened := g.scope.Counter("endpoint_connections_opened")
-	g.sender = sender.New(sender.Config{Dialer: g.c.Network, Opened: func() { opened.Inc(1) }})
+	g.sender = sender.New(sender.Config{Dialer: g.c.Network, OnConnect: func() { opened.Inc(1) }})
 	g.quarantine = reporter.New(reporter.Config{
 		Host: d.Host, Dialer: g.c.Network, Leaving: g.registry.Leaving, Spread: g.spreadEndings, Logger: g.c.Logger, Metrics: g.scope,
 	})
@@ -406,7 +406,7 @@
 // ready answers the balancer. Nothing but a new process makes a stopping daemon
 // ready again.
 func (g *Gateway) ready(w http.ResponseWriter, _ *http.Request) {
-	if g.stopping.Load() || g.versioner.InForce() == nil || !g.listed.Load() {
+	if g.stopping.Load() || g.versioner.Current() == nil || !g.listed.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/role/gateway/limits.go
+++ b/internal/role/gateway/limits.go
@@ -24,7 +24,7 @@
 
 func (g *Gateway) buildPacer() {
 	g.limitLines = rate.NewLimiter(limitLinesPerSecond, limitLinesPerSecond)
-	g.pacer = pacer.New(pacer.Config{Host: g.c.Deployment.Host, Fleet: g.senders, Now: g.clock.Now, Changed: g.limitChanged})
+	g.pacer = pacer.New(pacer.Config{Host: g.c.Deployment.Host, Fleet: g.senders, Now: g.clock.Now, OnChange: g.limitChanged})
 }
 
 // senders is the part of the fleet that this daemon hears.
@@ -32,7 +32,7 @@
 	f := pacer.Fleet{Size: g.fleetSize(), Stopping: g.stopping.Load()}
 	for _, d := range g.roster.Lives(time.Now()) {
 		if !d.Stopping {
-			f.Others = append(f.Others, d.Host)
+			f.Peers = append(f.Peers, d.Host)
 		}
 	}
 	return f
@@ -50,7 +50,7 @@
 		}
 		return
 	}
-	g.pacer.Heard(pick.Life(), pacer.Word{PerSecond: reply.Limit.PerSecond, Limited: reply.Limit.Present}, sent)
+	g.pacer.ObserveResponse(pick.Life(), pacer.RateLimit{PerSecond: reply.Limit.PerSecond, Limited: reply.Limit.Present}, sent)
 }
 
 // limitChanged writes down that an endpoint takes more or less than before, and tells peers.
@@ -59,24 +59,24 @@
 	switch {
 	case !c.Limited:
 		state = "ended"
-	case !c.Before.Limited:
+	case !c.Previous.Limited:
 		state = "named"
 	}
 	g.scope.Tagged(map[string]string{"state": state}).Counter("endpoint_limits").Inc(1)
 	g.scope.Gauge("endpoints_limited").Update(float64(len(g.pacer.Limits())))
 	if g.limitLines.Allow() {
-		g.c.Logger.Info("endpoint's limit "+state, "endpoint", c.Endpoint, "born", c.Born, "per_second", c.PerSecond, "before", c.Before.PerSecond,
-			"own_answer", c.Own, "age_ms", g.clock.Now().Sub(c.At).Milliseconds(), "own_share", c.Share, "daemons", g.daemons())
+		g.c.Logger.Info("endpoint's limit "+state, "endpoint", c.Endpoint, "born", c.Born, "per_second", c.PerSecond, "before", c.Previous.PerSecond,
+			"own_answer", c.Local, "age_ms", g.clock.Now().Sub(c.At).Milliseconds(), "own_share", c.Rate, "daemons", g.daemons())
 	}
-	if c.Limited && c.Before.Limited && c.PerSecond > (1-steadyPart)*c.Before.PerSecond {
+	if c.Limited && c.Previous.Limited && c.PerSecond > (1-steadyPart)*c.Previous.PerSecond {
 		return
 	}
-	g.swapper.Hurry(c.Own || g.large() && g.relaying())
+	g.swapper.Hurry(c.Local || g.large() && g.relaying())
 }
 
 // limits is what this daemon tells others of endpoints' limits.
 func (g *Gateway) limits() []*rpc.EndpointLimit {
-	list := g.pacer.Told()
+	list := g.pacer.Updates()
 	out := make([]*rpc.EndpointLimit, len(list))
 	for i, l := range list {
 		out[i] = &rpc.EndpointLimit{
@@ -94,8 +94,8 @@
 			continue
 		}
 		out = append(out, pacer.Limit{
-			Life: pacer.Life{Endpoint: identifier.Endpoint(l.GetEndpoint()), Born: identifier.Born(l.GetBorn())},
-			Word: pacer.Word{PerSecond: l.GetPerSecond(), Limited: l.GetLimited()},
+			Incarnation: pacer.Incarnation{Endpoint: identifier.Endpoint(l.GetEndpoint()), Born: identifier.Born(l.GetBorn())},
+			RateLimit: pacer.RateLimit{PerSecond: l.GetPerSecond(), Limited: l.GetLimited()},
 			At:   time.UnixMilli(l.GetUnixMilli()),
 		})
 	}
@@ -104,10 +104,10 @@
 
 // pruneLimits forgets the limits of endpoints that are not listed any more.
 func (g *Gateway) pruneLimits(hosts []inventory.Host) {
-	listed := make(map[pacer.Life]bool, len(hosts))
+	listed := make(map[pacer.Incarnation]bool, len(hosts))
 	for _, h := range hosts {
-		listed[pacer.Life{Endpoint: h.Endpoints[0].Endpoint, Born: h.Born}] = true
+		listed[pacer.Incarnation{Endpoint: h.Endpoints[0].Endpoint, Born: h.Born}] = true
 	}
-	g.pacer.Prune(func(l pacer.Life) bool { return listed[l] })
+	g.pacer.Prune(func(l pacer.Incarnation) bool { return listed[l] })
 	g.scope.Gauge("endpoints_limited").Update(float64(len(g.pacer.Limits())))
 }
--- a/internal/role/gateway/limits_test.go
+++ b/internal/role/gateway/limits_test.go
@@ -248,7 +248,7 @@
 		if n := failed(replies); n > 0 {
 			t.Errorf("%d of %d requests failed", n, len(replies))
 		}
-		if i := slices.IndexFunc(f.daemons, func(g *Gateway) bool { return g.pacer.Any() }); i >= 0 {
+		if i := slices.IndexFunc(f.daemons, func(g *Gateway) bool { return g.pacer.HasLimits() }); i >= 0 {
 			t.Errorf("%s: %+v", f.daemons[i].c.Deployment.Host, f.daemons[i].pacer.Limits())
 		}
 	})
--- a/internal/role/gateway/news.go
+++ b/internal/role/gateway/news.go
@@ -49,7 +49,7 @@
 		Roster: g.roster, Relaying: g.relaying, Large: g.large,
 		Self: g.digestFor, Heard: g.heard, Note: g.note, Noted: g.noted, Client: &http.Client{Transport: transport},
 	})
-	throttle := throttler.New(throttler.Config{BytesPerSecond: d.LinkBytes})
+	throttle := throttler.New(throttler.Config{BytesPerSecond: d.LinkBytesPerSecond})
 	g.supplier = supplier.New(supplier.Config{
 		Address: d.Peers.String(), Objects: &g.mirror, Kinds: []string{platform.CatalogKind, platform.EndpointKind, platform.RolloutKind}, Throttler: throttle,
 		Client: watchdog.New(watchdog.Config{Transport: transport, Silence: peerSilence}), Logger: g.c.Logger,
@@ -103,7 +103,7 @@
 			TokensPerSecond: n.Tokens, RefusedPerSecond: n.Refused,
 		})
 	}
-	for name, s := range g.estimator.Own() {
+	for name, s := range g.estimator.Local() {
 		out.Speeds = append(out.Speeds, engineSpeed(name, s))
 	}
 	for _, l := range g.registry.Loads(time.Now()) {
@@ -132,7 +132,7 @@
 	g.toldSize.Store(max(g.toldSize.Load(), int64(d.GetFleet())))
 	g.account(d)
 	g.quarantine.Heard(d.GetSuspects())
-	g.pacer.Hear(limitsTold(d.GetLimits()))
+	g.pacer.Merge(limitsTold(d.GetLimits()))
 	g.spare(d.GetRests())
 	g.hearRollouts(d.GetRollouts(), d.GetHost(), d.GetAddress())
 	if d.GetOrdersKnown() && len(d.GetRollouts()) == 0 {
@@ -146,8 +146,8 @@
 		speeds = told
 	}
 	for _, s := range speeds {
-		g.estimator.Told(host, identifier.Service(s.GetService()), estimator.Estimate{
-			Speed: estimator.Speed(s.GetTokensPerSecond()), Answers: int(s.GetAnswers()), Fixed: time.Duration(s.GetFixedMicro()) * time.Microsecond,
+		g.estimator.Merge(host, identifier.Service(s.GetService()), estimator.Estimate{
+			Speed: estimator.Speed(s.GetTokensPerSecond()), Samples: int(s.GetAnswers()), FixedLatency: time.Duration(s.GetFixedMicro()) * time.Microsecond,
 		}, time.Now())
 	}
 	g.spread(d)
@@ -168,7 +168,7 @@
 		others := make(map[identifier.Endpoint]candidate.Others)
 		for _, l := range g.loads(time.Now()) {
 			endpoint := identifier.Endpoint(l.GetEndpoint())
-			if _, present := g.registrar.Told(endpoint, identifier.Born(l.GetBorn())); !present {
+			if _, present := g.registrar.Current(endpoint, identifier.Born(l.GetBorn())); !present {
 				// It was sent to an earlier life of the endpoint.
 				continue
 			}
@@ -213,8 +213,8 @@
 // others; and in a large fleet only a few follow it.
 func (g *Gateway) spread(d *rpc.Digest) {
 	g.markLeaving(d)
-	g.versioner.Told(identifier.ConfigurationNumber(d.GetConfigurationNumber()))
-	if c := g.versioner.InForce(); c != nil && uint64(c.Number()) < d.GetConfigurationNumber() {
+	g.versioner.ObserveNumber(identifier.ConfigurationNumber(d.GetConfigurationNumber()))
+	if c := g.versioner.Current(); c != nil && uint64(c.Number()) < d.GetConfigurationNumber() {
 		g.catalogs.Want(d.GetAddress(), d.GetConfigurationNumber())
 	}
 	if known := g.endpointsRevision(); known > 0 && known < d.GetEndpointsRevision() {
@@ -232,14 +232,14 @@
 		}
 	}
 	for _, l := range d.GetDepartures() {
-		life, known := g.registrar.Told(identifier.Endpoint(l.GetEndpoint()), identifier.Born(l.GetBorn()))
+		life, known := g.registrar.Current(identifier.Endpoint(l.GetEndpoint()), identifier.Born(l.GetBorn()))
 		mark(l.GetEndpoint(), life, known)
 	}
 	if len(d.GetDepartures()) > 0 {
 		return
 	}
 	for _, id := range d.GetLeaving() {
-		life, known := g.registrar.ToldByID(identifier.Endpoint(id))
+		life, known := g.registrar.CurrentByID(identifier.Endpoint(id))
 		mark(id, life, known)
 	}
 }
@@ -261,7 +261,7 @@
 
 // number is that of the configuration in force, 0 for none.
 func (g *Gateway) number() uint64 {
-	if c := g.versioner.InForce(); c != nil {
+	if c := g.versioner.Current(); c != nil {
 		return uint64(c.Number())
 	}
 	return 0
@@ -270,7 +270,7 @@
 func (g *Gateway) noted(n *rpc.Note) {
 	g.led(n.GetHoldsDuties())
 	g.quarantine.Heard(n.GetSuspects())
-	g.pacer.Hear(limitsTold(n.GetLimits()))
+	g.pacer.Merge(limitsTold(n.GetLimits()))
 	g.spare(n.GetRests())
 	g.hearRollouts(n.GetRollouts(), n.GetHost(), n.GetAddress())
 	g.spread(&rpc.Digest{
@@ -296,9 +296,9 @@
 // askPeers fills the beliefs of a daemon that started while the store turns it
 // away: it would otherwise refuse all that its peers serve.
 func (g *Gateway) askPeers(ctx context.Context) error {
-	for ctx.Err() == nil && (g.versioner.InForce() == nil || !g.listed.Load()) {
+	for ctx.Err() == nil && (g.versioner.Current() == nil || !g.listed.Load()) {
 		waiter.For(ctx, askPause)
-		if g.versioner.InForce() != nil && g.listed.Load() {
+		if g.versioner.Current() != nil && g.listed.Load() {
 			return suture.ErrDoNotRestart
 		}
 		for _, address := range g.swapper.Known() {
--- a/internal/role/gateway/objects.go
+++ b/internal/role/gateway/objects.go
@@ -147,7 +147,7 @@
 		return nil, err
 	}
 	h := e.Host
-	if h.Incarnation, err = g.registrar.Record(identifier.Endpoint(id), h.Born, o.Version); err != nil {
+	if h.Incarnation, err = g.registrar.Register(identifier.Endpoint(id), h.Born, o.Version); err != nil {
 		return nil, err
 	}
 	g.c.Logger.Info("endpoint listed", "endpoint", id, "revision", o.Version, "zone", h.AvailabilityZone, "service",
--- a/internal/role/gateway/quotas.go
+++ b/internal/role/gateway/quotas.go
@@ -9,7 +9,7 @@
 
 	"brasschute/internal/core/waiter"
 	"brasschute/internal/platform/object"
-	"brasschute/internal/route/allotter"
+	"brasschute/internal/route/quotalimiter"
 )
 
 const (
@@ -32,7 +32,7 @@
 }
 
 func (u *duties) writeQuotas(ctx context.Context) {
-	r := u.g.allotter.Record(u.g.clock.Now())
+	r := u.g.allotter.Snapshot(u.g.clock.Now())
 	if len(r.Levels) == 0 {
 		return
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	var r allotter.Record
+	var r quotalimiter.Snapshot
 	if err := json.Unmarshal(o.Value, &r); err != nil {
 		return fmt.Errorf("gateway: %s: %w", quotaKey, err)
 	}
--- a/internal/role/gateway/rollouts.go
+++ b/internal/role/gateway/rollouts.go
@@ -94,7 +94,7 @@
 	}
 	var out []*rpc.Rollout
 	for _, o := range g.splitter.Orders() {
-		id := o.Order()
+		id := o.OrderID()
 		grant := granted[id]
 		r := &rpc.Rollout{Service: string(o.Service), Target: string(o.Target), Order: id, Revision: g.rolloutsRevision()}
 		if grant.Order == id {
@@ -211,12 +211,12 @@
 		told = rollout.Switching
 	}
 	u.g.splitter.Hear(&splitter.Grant{
-		Service: s.Order.Service, Target: s.Order.Target, Order: s.Order.Order(), Phase: told,
+		Service: s.Order.Service, Target: s.Order.Target, Order: s.Order.OrderID(), Phase: told,
 		Fencing: fencing, Beat: u.beat, Said: u.g.uptime(), Ends: s.Ends,
 	}, string(u.g.c.Deployment.Host))
 	if s.News {
 		u.g.scope.Tagged(map[string]string{"service": string(s.Order.Service), "phase": s.Phase.String()}).Counter("rollouts_decided").Inc(1)
-		u.g.c.Logger.Info("roll-out decided", "service", s.Order.Service, "target", s.Order.Target, "order", orderName(s.Order.Order()),
+		u.g.c.Logger.Info("roll-out decided", "service", s.Order.Service, "target", s.Order.Target, "order", orderName(s.Order.OrderID()),
 			"phase", s.Phase, "reason", s.Reason, "new", s.Evidence.New, "old", s.Evidence.Old, "fencing", fencing,
 			"ends_in_ms", s.Ends.Sub(u.g.uptime()).Milliseconds())
 	}
@@ -259,7 +259,7 @@
 		}
 		if lacks := u.promoter.Lacks(o, in); lacks != "" {
 			u.lacksTold = in.Now
-			u.g.c.Logger.Warn("roll-out behind its deadline", "service", o.Service, "target", o.Target, "order", orderName(o.Order()),
+			u.g.c.Logger.Warn("roll-out behind its deadline", "service", o.Service, "target", o.Target, "order", orderName(o.OrderID()),
 				"late_ms", in.Now.Sub(o.Since.Add(o.Duration)).Milliseconds(), "lacks", lacks)
 		}
 	}
--- a/internal/role/gateway/rollouts_test.go
+++ b/internal/role/gateway/rollouts_test.go
@@ -81,7 +81,7 @@
 		f.rate = wide
 		f.adjust = func(d *deployment.Deployment) {
 			d.Rollouts = true
-			d.Bounds.TrialShare, d.Bounds.TrialSlack, d.Bounds.RevertTime = trialShare, trialSlack, revertTime
+			d.Bounds.CanaryShare, d.Bounds.CanarySlack, d.Bounds.RollbackTime = trialShare, trialSlack, revertTime
 		}
 		v := &versions{f: f, host: f.network.Host(storeLink), engines: make(map[string][]*http.Server)}
 		v.answers = func(_, path string, _ time.Duration, _ int) (answer, bool) { return soundAnswer(path), false }
--- a/internal/role/gateway/size_test.go
+++ b/internal/role/gateway/size_test.go
@@ -10,7 +10,7 @@
 
 	"brasschute/internal/config/catalog"
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/route/allotter"
+	"brasschute/internal/route/quotalimiter"
 )
 
 // fleetShape is the size of a fleet whose news is measured.
@@ -68,7 +68,7 @@
 	for i := range names {
 		names[i] = fmt.Sprintf("probe-%d-%d", round, i)
 		g := f.daemons[f.random.IntN(len(f.daemons))]
-		if v := g.allotter.Admit(&catalog.Organisation{Name: identifier.Organisation(names[i])}, charge); v != (allotter.Verdict{}) && v.RetryAfter > 0 {
+		if v := g.allotter.Admit(&catalog.Organisation{Name: identifier.Organisation(names[i])}, charge); v != (quotalimiter.Decision{}) && v.RetryAfter > 0 {
 			f.t.Fatalf("refused without a limit: %+v", v)
 		}
 	}
--- a/internal/role/gateway/sums.go
+++ b/internal/role/gateway/sums.go
@@ -8,7 +8,7 @@
 	"brasschute/internal/peer/aggregator"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/peer/swapper"
-	"brasschute/internal/route/allotter"
+	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/estimator"
 )
 
@@ -74,31 +74,31 @@
 	}
 	switch {
 	case p == partPair:
-		g.allotter.Heard(pairNews(d))
+		g.allotter.Merge(pairNews(d))
 	case news:
-		g.allotter.Heard(groupNews(u))
+		g.allotter.Merge(groupNews(u))
 	}
 }
 
 // pairNews is what a daemon tells of itself.
-func pairNews(d *rpc.Digest) allotter.News {
-	accounts := make(map[identifier.Organisation]allotter.Account, len(d.GetCharges()))
+func pairNews(d *rpc.Digest) quotalimiter.Update {
+	accounts := make(map[identifier.Organisation]quotalimiter.Account, len(d.GetCharges()))
 	for _, c := range d.GetCharges() {
-		accounts[identifier.Organisation(c.GetOrganisation())] = allotter.Account{
+		accounts[identifier.Organisation(c.GetOrganisation())] = quotalimiter.Account{
 			Total: c.GetTotal(), Level: c.GetLevel(), NoLevel: c.Level == nil, Asked: c.GetAskedPerSecond(),
 		}
 	}
-	return allotter.News{
+	return quotalimiter.Update{
 		Host: identifier.Host(d.GetHost()), Incarnation: d.GetIncarnation(), Age: time.Duration(d.GetAgeMilli()) * time.Millisecond, Accounts: accounts,
 	}
 }
 
-func groupNews(u aggregator.Update) allotter.News {
-	accounts := make(map[identifier.Organisation]allotter.Account, len(u.Accounts))
+func groupNews(u aggregator.Update) quotalimiter.Update {
+	accounts := make(map[identifier.Organisation]quotalimiter.Account, len(u.Accounts))
 	for o, a := range u.Accounts {
-		accounts[o] = allotter.Account{Total: a.Total, Level: a.Level, NoLevel: a.NoLevel, Asked: a.Asked}
+		accounts[o] = quotalimiter.Account{Total: a.Total, Level: a.Level, NoLevel: a.NoLevel, Asked: a.Asked}
 	}
-	return allotter.News{Host: u.Name, Incarnation: u.Incarnation, Age: u.Age, Daemons: u.Daemons, Silent: u.Silent, Accounts: accounts}
+	return quotalimiter.Update{Host: u.Name, Incarnation: u.Incarnation, Age: u.Age, Daemons: u.Daemons, Silent: u.Silent, Accounts: accounts}
 }
 
 // digestFor is the digest for one daemon: in a large fleet a relay adds the sums that this
@@ -178,8 +178,8 @@
 // speeds are what a relay takes engines to read, for the daemons of its zone.
 func (g *Gateway) speeds(now time.Time) []*rpc.EngineSpeed {
 	var out []*rpc.EngineSpeed
-	for name := range g.estimator.Own() {
-		out = append(out, engineSpeed(name, g.estimator.Of(name, now)))
+	for name := range g.estimator.Local() {
+		out = append(out, engineSpeed(name, g.estimator.Estimate(name, now)))
 	}
 	return out
 }
@@ -187,7 +187,7 @@
 // engineSpeed is an estimate as it is told.
 func engineSpeed(name identifier.Service, e estimator.Estimate) *rpc.EngineSpeed {
 	return &rpc.EngineSpeed{
-		Service: string(name), TokensPerSecond: float64(e.Speed), Answers: uint32(e.Answers), FixedMicro: e.Fixed.Microseconds(),
+		Service: string(name), TokensPerSecond: float64(e.Speed), Answers: uint32(e.Samples), FixedMicro: e.FixedLatency.Microseconds(),
 	}
 }
 
--- a/internal/route/budgeter/budgeter.go
+++ b/internal/route/budgeter/budgeter.go
@@ -21,8 +21,8 @@
 
 // Config sets the bound.
 type Config struct {
-	// Share is the part of a retry that a request earns; 0.2 if zero.
-	Share float64
+	// Ratio is the part of a retry that a request earns; 0.2 if zero.
+	Ratio float64
 	// Reserve is how many retries may be saved up; 50 if zero.
 	Reserve float64
 }
@@ -38,13 +38,13 @@
 
 // New returns a budgeter with a full reserve.
 func New(c Config) *Budgeter {
-	if c.Share == 0 {
-		c.Share = defaultShare
+	if c.Ratio == 0 {
+		c.Ratio = defaultShare
 	}
 	if c.Reserve == 0 {
 		c.Reserve = defaultReserve
 	}
-	return &Budgeter{share: c.Share, reserve: c.Reserve, tokens: c.Reserve}
+	return &Budgeter{share: c.Ratio, reserve: c.Reserve, tokens: c.Reserve}
 }
 
 // Earn credits one request.
--- a/internal/route/demander/demander.go
+++ b/internal/route/demandmeter/demander.go
@@ -2,9 +2,9 @@
 //
 // # Usage
 //
-//	d.Placed("lm", uncachedTokens); d.Ended("lm"); d.Refused("lm")
+//	d.CountPlaced("lm", uncachedTokens); d.CountEnded("lm"); d.CountRefused("lm")
 //	demands := d.Demands()
-package demander
+package demandmeter
 
 import (
 	"math"
@@ -43,13 +43,13 @@
 	at time.Time
 }
 
-// Demander measures. The zero value is ready; it is safe for concurrent use.
-type Demander struct {
+// Meter measures. The zero value is ready; it is safe for concurrent use.
+type Meter struct {
 	mu sync.Mutex
 	by map[identifier.Service]*measured
 }
 
-func (d *Demander) get(s identifier.Service) *measured {
+func (d *Meter) get(s identifier.Service) *measured {
 	if d.by == nil {
 		d.by = make(map[identifier.Service]*measured)
 	}
@@ -74,8 +74,8 @@
 // then one.
 const weight = math.Ln2 / (float64(halfLife) / float64(time.Second))
 
-// Placed counts a request that goes to an endpoint, with its uncached tokens.
-func (d *Demander) Placed(s identifier.Service, tokens identifier.Tokens) {
+// CountPlaced counts a request that goes to an endpoint, with its uncached tokens.
+func (d *Meter) CountPlaced(s identifier.Service, tokens identifier.Tokens) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	m := d.get(s)
@@ -84,22 +84,22 @@
 	m.Tokens += weight * float64(tokens)
 }
 
-// Ended counts the end of a placed request.
-func (d *Demander) Ended(s identifier.Service) {
+// CountEnded counts the end of a placed request.
+func (d *Meter) CountEnded(s identifier.Service) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.get(s).Running--
 }
 
-// Refused counts a request that no endpoint could take.
-func (d *Demander) Refused(s identifier.Service) {
+// CountRefused counts a request that no endpoint could take.
+func (d *Meter) CountRefused(s identifier.Service) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.get(s).Refused += weight
 }
 
 // Demands returns the demand for each service.
-func (d *Demander) Demands() map[identifier.Service]Demand {
+func (d *Meter) Demands() map[identifier.Service]Demand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make(map[identifier.Service]Demand, len(d.by))
--- a/internal/route/estimator/estimator.go
+++ b/internal/route/estimator/estimator.go
@@ -98,7 +98,7 @@
 	// Uncached is the number of prompt tokens that the engine had to read, Ahead that
 	// of those presumed to be read before, Streams the streams that ran beside it.
 	Uncached identifier.Tokens
-	Ahead    float64
+	TokensAhead    float64
 	Streams  float64
 	// Took is the time from sending to the first event.
 	Took time.Duration
@@ -107,9 +107,9 @@
 // Estimate is what is known of an engine, and the number of answers that it rests on.
 type Estimate struct {
 	Speed Speed
-	// Fixed is the time to a first event without any prompt to read.
-	Fixed   time.Duration
-	Answers int
+	// FixedLatency is the time to a first event without any prompt to read.
+	FixedLatency   time.Duration
+	Samples int
 }
 
 // told is what another daemon told of a service.
@@ -146,14 +146,14 @@
 	}
 	l := e.by[s]
 	if l == nil {
-		l = &learned{own: Estimate{Speed: firstSpeed, Fixed: firstFixed}, token: firstToken, others: make(map[identifier.Host]told)}
+		l = &learned{own: Estimate{Speed: firstSpeed, FixedLatency: firstFixed}, token: firstToken, others: make(map[identifier.Host]told)}
 		e.by[s] = l
 	}
 	return l
 }
 
-// Observe takes in a first event.
-func (e *Estimator) Observe(s identifier.Service, o Observation) {
+// ObserveFirstEvent takes in a first event.
+func (e *Estimator) ObserveFirstEvent(s identifier.Service, o Observation) {
 	if o.Uncached <= 0 || o.Took <= 0 {
 		return
 	}
@@ -162,25 +162,25 @@
 	l := e.get(s)
 	uncached := float64(o.Uncached)
 	reading := uncached / float64(l.own.Speed) * (1 + selector.BatchSlowdown*max(o.Streams, 0))
-	faster := o.Took.Seconds()-l.own.Fixed.Seconds() < reading
-	if !faster && o.Ahead > idlePart*uncached {
+	faster := o.Took.Seconds()-l.own.FixedLatency.Seconds() < reading
+	if !faster && o.TokensAhead > idlePart*uncached {
 		return
 	}
 	weight := max(min(uncached/fullPrompt, 1), leastPart)
-	speed := max(float64(l.own.Speed)*quicker(faster, l.own.Answers, weight), l.least(time.Now()))
+	speed := max(float64(l.own.Speed)*quicker(faster, l.own.Samples, weight), l.least(time.Now()))
 	l.own.Speed = Speed(min(max(speed, leastSpeed), mostSpeed))
-	l.own.Answers = min(l.own.Answers+1, mostAnswers)
+	l.own.Samples = min(l.own.Samples+1, mostAnswers)
 	switch {
-	case o.Took < l.own.Fixed:
+	case o.Took < l.own.FixedLatency:
 		l.fix(true, 1)
 	case weight < 1:
 		l.fix(faster, 1-weight)
 	}
 }
 
-// Wrote takes in the length of a stream, in output tokens, and the time from its first
+// ObserveStream takes in the length of a stream, in output tokens, and the time from its first
 // event to its last.
-func (e *Estimator) Wrote(s identifier.Service, tokens int, took time.Duration) {
+func (e *Estimator) ObserveStream(s identifier.Service, tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -191,8 +191,8 @@
 	l.token += time.Duration(tokenWeight * float64(each-l.token))
 }
 
-// Token returns the time between two output tokens, as this daemon's streams tell it.
-func (e *Estimator) Token(s identifier.Service) time.Duration {
+// TokenInterval returns the time between two output tokens, as this daemon's streams tell it.
+func (e *Estimator) TokenInterval(s identifier.Service) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return max(e.get(s).token, time.Microsecond)
@@ -213,8 +213,8 @@
 // fix moves the estimate of the fixed time by an answer that was quicker than
 // estimated, or was not.
 func (l *learned) fix(quick bool, weight float64) {
-	fixed := l.own.Fixed.Seconds() / quicker(quick, l.short, weight)
-	l.own.Fixed = time.Duration(min(max(fixed, leastFixed.Seconds()), mostFixed.Seconds()) * float64(time.Second))
+	fixed := l.own.FixedLatency.Seconds() / quicker(quick, l.short, weight)
+	l.own.FixedLatency = time.Duration(min(max(fixed, leastFixed.Seconds()), mostFixed.Seconds()) * float64(time.Second))
 	l.short++
 }
 
@@ -236,26 +236,26 @@
 	return math.Exp(size)
 }
 
-// Own returns what this daemon has learned itself, to be told to the others.
-func (e *Estimator) Own() map[identifier.Service]Estimate {
+// Local returns what this daemon has learned itself, to be told to the others.
+func (e *Estimator) Local() map[identifier.Service]Estimate {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	out := make(map[identifier.Service]Estimate, len(e.by))
 	for s, l := range e.by {
-		if l.own.Answers > 0 {
+		if l.own.Samples > 0 {
 			out[s] = l.own
 		}
 	}
 	return out
 }
 
-// Told takes in what another daemon has learned.
-func (e *Estimator) Told(from identifier.Host, s identifier.Service, t Estimate, now time.Time) {
-	if t.Answers <= 0 || !(t.Speed >= leastSpeed && t.Speed <= mostSpeed) {
+// Merge takes in what another daemon has learned.
+func (e *Estimator) Merge(from identifier.Host, s identifier.Service, t Estimate, now time.Time) {
+	if t.Samples <= 0 || !(t.Speed >= leastSpeed && t.Speed <= mostSpeed) {
 		return
 	}
-	t.Fixed = min(max(t.Fixed, leastFixed), mostFixed)
-	t.Answers = min(t.Answers, mostAnswers)
+	t.FixedLatency = min(max(t.FixedLatency, leastFixed), mostFixed)
+	t.Samples = min(t.Samples, mostAnswers)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.get(s).others[from] = told{t, now}
@@ -264,16 +264,16 @@
 // medianPause is how often the median is taken anew.
 const medianPause = 200 * time.Millisecond
 
-// Of returns what the fleet knows of a service's engines.
-func (e *Estimator) Of(s identifier.Service, now time.Time) Estimate {
+// Estimate returns what the fleet knows of a service's engines.
+func (e *Estimator) Estimate(s identifier.Service, now time.Time) Estimate {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	l := e.get(s)
 	if l.at.IsZero() || now.Sub(l.at) >= medianPause {
 		l.fleet, l.at = l.median(now), now
-		if l.own.Answers == 0 {
+		if l.own.Samples == 0 {
 			// What the others know is a better start than the first value.
-			l.own = Estimate{Speed: l.fleet.Speed, Fixed: l.fleet.Fixed}
+			l.own = Estimate{Speed: l.fleet.Speed, FixedLatency: l.fleet.FixedLatency}
 		}
 	}
 	return l.fleet
@@ -293,14 +293,14 @@
 	slices.SortFunc(all, func(a, b Estimate) int { return cmp.Compare(a.Speed, b.Speed) })
 	sum := 0
 	for _, t := range all {
-		sum += t.Answers
+		sum += t.Samples
 	}
 	if sum == 0 {
 		return l.own
 	}
 	below := 0
 	for _, t := range all {
-		below += t.Answers
+		below += t.Samples
 		if 2*below >= sum {
 			return t
 		}
--- a/internal/route/estimator/estimator_test.go
+++ b/internal/route/estimator/estimator_test.go
@@ -26,7 +26,7 @@
 func prompt(r *rand.Rand) float64 { return 1000 + 8000*r.Float64() }
 
 func observe(e *Estimator, g engine, uncached, ahead, believed float64) {
-	e.Observe(service, Observation{Uncached: identifier.Tokens(uncached), Ahead: believed, Took: g.first(uncached, ahead)})
+	e.ObserveFirstEvent(service, Observation{Uncached: identifier.Tokens(uncached), TokensAhead: believed, Took: g.first(uncached, ahead)})
 }
 
 // within tells whether an estimate is as near to the truth as decisions need.
@@ -50,7 +50,7 @@
 				time.Sleep(100 * time.Millisecond)
 				observe(&e, engine{fixed: 15 * time.Millisecond, speed: speed}, prompt(r), 0, 0)
 			}
-			if got := e.Of(service, time.Now()).Speed; !within(got, speed) {
+			if got := e.Estimate(service, time.Now()).Speed; !within(got, speed) {
 				t.Errorf("%.0f tokens a second after %d answers, %.0f are read", got, answers, speed)
 			}
 		})
@@ -69,7 +69,7 @@
 			time.Sleep(200 * time.Millisecond)
 			observe(&e, engine{speed: firstSpeed}, prompt(r), 20_000, 0)
 		}
-		if got := e.Of(service, time.Now()).Speed; got < firstSpeed*7/10 {
+		if got := e.Estimate(service, time.Now()).Speed; got < firstSpeed*7/10 {
 			t.Errorf("%.0f tokens a second after three seconds, %d before", got, firstSpeed)
 		}
 	})
@@ -85,12 +85,12 @@
 	for range 100 {
 		observe(&e, g, prompt(r), 0, 0)
 	}
-	before := e.Of(service, time.Now()).Speed
+	before := e.Estimate(service, time.Now()).Speed
 	for range 500 {
 		ahead := 20_000 + 60_000*r.Float64()
 		observe(&e, g, prompt(r), ahead, ahead*(0.5+r.Float64()))
 	}
-	if got := e.Of(service, time.Now().Add(time.Second)).Speed; got < before*9/10 {
+	if got := e.Estimate(service, time.Now().Add(time.Second)).Speed; got < before*9/10 {
 		t.Errorf("%.0f after an overload, %.0f before", got, before)
 	}
 }
@@ -110,7 +110,7 @@
 			g.speed *= 0.8 + 0.4*r.Float64()
 			observe(&e, g, prompt(r), 0, 0)
 		}
-		if got := e.Of(service, time.Now()).Speed; !within(got, 80_000) {
+		if got := e.Estimate(service, time.Now()).Speed; !within(got, 80_000) {
 			t.Errorf("%.0f tokens a second beside an engine of %.0f", got, grey.speed)
 		}
 	}
@@ -120,15 +120,15 @@
 func TestNewProcessGoesByTheFleet(t *testing.T) {
 	var e Estimator
 	now := time.Now()
-	e.Told("a", service, Estimate{Speed: 110_000, Answers: 300}, now)
-	e.Told("b", service, Estimate{Speed: 100_000, Answers: 300}, now)
-	e.Told("liar", service, Estimate{Speed: 4_000_000, Answers: 1 << 30}, now)
-	e.Told("broken", service, Estimate{Speed: -1, Answers: 500}, now)
-	if got := e.Of(service, now).Speed; got != 110_000 {
+	e.Merge("a", service, Estimate{Speed: 110_000, Samples: 300}, now)
+	e.Merge("b", service, Estimate{Speed: 100_000, Samples: 300}, now)
+	e.Merge("liar", service, Estimate{Speed: 4_000_000, Samples: 1 << 30}, now)
+	e.Merge("broken", service, Estimate{Speed: -1, Samples: 500}, now)
+	if got := e.Estimate(service, now).Speed; got != 110_000 {
 		t.Errorf("%.0f, told 100,000 and 110,000", got)
 	}
 	later := now.Add(toldAge + time.Second)
-	if got := e.Of(service, later).Speed; got != 110_000 {
+	if got := e.Estimate(service, later).Speed; got != 110_000 {
 		t.Errorf("%.0f after the others fell silent: not what was told first", got)
 	}
 }
@@ -148,12 +148,12 @@
 				}
 				observe(&e, g, size, 0, 0)
 			}
-			got := e.Of(service, time.Now())
+			got := e.Estimate(service, time.Now())
 			if !within(got.Speed, g.speed) {
 				t.Errorf("%.0f tokens a second, %.0f are read", got.Speed, g.speed)
 			}
-			if !within(Speed(got.Fixed.Seconds()), g.fixed.Seconds()) {
-				t.Errorf("%s of fixed time, it is %s", got.Fixed, g.fixed)
+			if !within(Speed(got.FixedLatency.Seconds()), g.fixed.Seconds()) {
+				t.Errorf("%s of fixed time, it is %s", got.FixedLatency, g.fixed)
 			}
 		})
 	}
@@ -168,14 +168,14 @@
 		if n == 390 {
 			took = time.Hour
 		}
-		e.Wrote(service, 100, took)
+		e.ObserveStream(service, 100, took)
 	}
-	if got := e.Token(service); got < 20*time.Millisecond || got > 60*time.Millisecond {
+	if got := e.TokenInterval(service); got < 20*time.Millisecond || got > 60*time.Millisecond {
 		t.Errorf("%s a token, it is 25 ms", got)
 	}
-	e.Wrote(service, 0, time.Second)
-	e.Wrote(service, 5, -time.Second)
-	if got := e.Token(service); got <= 0 {
+	e.ObserveStream(service, 0, time.Second)
+	e.ObserveStream(service, 5, -time.Second)
+	if got := e.TokenInterval(service); got <= 0 {
 		t.Errorf("%s a token", got)
 	}
 }
@@ -185,15 +185,15 @@
 func TestEstimateIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var e Estimator
-		last := e.Of(service, time.Now()).Speed
+		last := e.Estimate(service, time.Now()).Speed
 		for n := range rapid.IntRange(1, 60).Draw(t, "answers") {
-			e.Observe(service, Observation{
+			e.ObserveFirstEvent(service, Observation{
 				Uncached: identifier.Tokens(rapid.IntRange(-5, 1_000_000).Draw(t, "uncached")),
-				Ahead:    rapid.Float64Range(0, 1e6).Draw(t, "ahead"),
+				TokensAhead:    rapid.Float64Range(0, 1e6).Draw(t, "ahead"),
 				Streams:  rapid.Float64Range(-1, 500).Draw(t, "streams"),
 				Took:     time.Duration(rapid.Int64Range(-5, int64(time.Minute)).Draw(t, "took")),
 			})
-			got := e.Own()[service].Speed
+			got := e.Local()[service].Speed
 			if got == 0 {
 				got = last
 			}
--- a/internal/route/evacuator/evacuator.go
+++ b/internal/route/evacuator/evacuator.go
@@ -39,7 +39,7 @@
 
 // Caller reaches engines.
 type Caller interface {
-	Import(ctx context.Context, address string, i *caller.Importation) error
+	Import(ctx context.Context, address string, i *caller.ImportRequest) error
 }
 
 // Registry knows conversations and their homes.
@@ -100,7 +100,7 @@
 			defer func() { <-slots }()
 			ctx, cancel := context.WithTimeout(ctx, timeout)
 			defer cancel()
-			_ = e.c.Caller.Import(ctx, address, &caller.Importation{Source: source, Blocks: c.Blocks})
+			_ = e.c.Caller.Import(ctx, address, &caller.ImportRequest{Source: source, Blocks: c.Blocks})
 		})
 	}
 	group.Wait()
--- a/internal/route/limiter/limiter.go
+++ b/internal/route/limiter/limiter.go
@@ -58,14 +58,14 @@
 	Slots int
 }
 
-// Refused is the error of a request that was not admitted.
-type Refused struct {
+// RefusedError is the error of a request that was not admitted.
+type RefusedError struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
 // Error states the reason and when to come back.
-func (r *Refused) Error() string {
+func (r *RefusedError) Error() string {
 	return fmt.Sprintf("%s; retry after %s", r.Reason, r.RetryAfter)
 }
 
@@ -94,8 +94,8 @@
 	}
 }
 
-// Part returns a daemon's part of a fleet-wide limit, at least 1.
-func Part(limit, zones, daemons int) int {
+// Share returns a daemon's part of a fleet-wide limit, at least 1.
+func Share(limit, zones, daemons int) int {
 	whole := max(zones, 1) * max(daemons, 1)
 	return max((limit+whole-1)/whole, 1)
 }
@@ -145,7 +145,7 @@
 
 // hopeless refuses a request that should not wait. Its waiter is last in the
 // queue.
-func (l *Limiter) hopeless(ctx context.Context, t *Ticket) *Refused {
+func (l *Limiter) hopeless(ctx context.Context, t *Ticket) *RefusedError {
 	ahead, own := 0, 0
 	for _, w := range l.waiting[:len(l.waiting)-1] {
 		if w.ticket.Organisation == t.Organisation {
@@ -157,10 +157,10 @@
 	}
 	wait := l.predict(t, max(ahead, own))
 	if own >= t.Queue {
-		return &Refused{"the organisation's queue is full", max(wait, leastRetry)}
+		return &RefusedError{"the organisation's queue is full", max(wait, leastRetry)}
 	}
 	if deadline, ok := ctx.Deadline(); ok && time.Now().Add(wait).After(deadline) {
-		return &Refused{"the deadline would pass in the queue", max(wait, leastRetry)}
+		return &RefusedError{"the deadline would pass in the queue", max(wait, leastRetry)}
 	}
 	return nil
 }
--- a/internal/route/pacer/pacer.go
+++ b/internal/route/pacer/pacer.go
@@ -54,26 +54,26 @@
 	mostTold   = 64
 )
 
-// Life is one life of an endpoint.
-type Life struct {
+// Incarnation is one life of an endpoint.
+type Incarnation struct {
 	Endpoint identifier.Endpoint
 	Born     identifier.Born
 }
 
-// Word is what an endpoint says of its limit.
-type Word struct {
+// RateLimit is what an endpoint says of its limit.
+type RateLimit struct {
 	// PerSecond counts the requests of all daemons together. Limited: it names a limit.
 	PerSecond float64
 	Limited   bool
 }
 
-// Named is the word of an endpoint that names a limit.
-func Named(perSecond float64) Word { return Word{perSecond, true} }
+// NewRateLimit is the word of an endpoint that names a limit.
+func NewRateLimit(perSecond float64) RateLimit { return RateLimit{perSecond, true} }
 
 // Limit is the newest word of a life of an endpoint.
 type Limit struct {
-	Life
-	Word
+	Incarnation
+	RateLimit
 	// At is when it was said, by the fleet's estimate of the true time.
 	At time.Time
 }
@@ -81,11 +81,11 @@
 // Change is a word that differs from the one before.
 type Change struct {
 	Limit
-	Before Word
-	// Own: an answer to this daemon said so, not another daemon.
-	Own bool
-	// Share is what this daemon sends in a second, 0 if it does not.
-	Share float64
+	Previous RateLimit
+	// Local: an answer to this daemon said so, not another daemon.
+	Local bool
+	// Rate is what this daemon sends in a second, 0 if it does not.
+	Rate float64
 }
 
 // Config names the pacer's collaborators.
@@ -94,8 +94,8 @@
 	Fleet func() Fleet
 	// Now estimates the true time.
 	Now func() time.Time
-	// Changed is told of changes.
-	Changed func(Change)
+	// OnChange is told of changes.
+	OnChange func(Change)
 }
 
 // entry is what is known of one life.
@@ -117,21 +117,21 @@
 	limited atomic.Int64
 
 	mu    sync.Mutex
-	lives map[Life]*entry
+	lives map[Incarnation]*entry
 	// fleet is as of heard.
 	fleet Fleet
 	heard time.Time
 }
 
 // New returns a pacer that knows no limit.
-func New(c Config) *Pacer { return &Pacer{c: c, lives: make(map[Life]*entry)} }
+func New(c Config) *Pacer { return &Pacer{c: c, lives: make(map[Incarnation]*entry)} }
 
-// Any tells whether some endpoint has a limit.
-func (p *Pacer) Any() bool { return p.limited.Load() > 0 }
+// HasLimits tells whether some endpoint has a limit.
+func (p *Pacer) HasLimits() bool { return p.limited.Load() > 0 }
 
-// Heard takes in what an answer says to a request that was sent at a time.
-func (p *Pacer) Heard(l Life, w Word, sent time.Time) {
-	if !w.Limited && !p.Any() {
+// ObserveResponse takes in what an answer says to a request that was sent at a time.
+func (p *Pacer) ObserveResponse(l Incarnation, w RateLimit, sent time.Time) {
+	if !w.Limited && !p.HasLimits() {
 		return
 	}
 	p.mu.Lock()
@@ -146,19 +146,19 @@
 		// The clock that stamped the word before is ahead of this one.
 		at = e.At.Add(time.Millisecond)
 	}
-	change, news := p.set(Limit{Life: l, Word: w, At: at})
+	change, news := p.set(Limit{Incarnation: l, RateLimit: w, At: at})
 	if e = p.lives[l]; e != nil && w.Limited {
 		e.named = time.Now()
 	}
 	p.mu.Unlock()
 	if news {
-		change.Own = true
-		p.c.Changed(change)
+		change.Local = true
+		p.c.OnChange(change)
 	}
 }
 
-// Hear takes in what another daemon tells.
-func (p *Pacer) Hear(news []Limit) {
+// Merge takes in what another daemon tells.
+func (p *Pacer) Merge(news []Limit) {
 	var changes []Change
 	p.mu.Lock()
 	latest := p.c.Now().Add(maxAhead)
@@ -166,7 +166,7 @@
 		if l.At.After(latest) {
 			l.At = latest
 		}
-		if e := p.lives[l.Life]; e != nil && !l.At.After(e.At) {
+		if e := p.lives[l.Incarnation]; e != nil && !l.At.After(e.At) {
 			continue
 		}
 		if change, changed := p.set(l); changed {
@@ -175,24 +175,24 @@
 	}
 	p.mu.Unlock()
 	for _, c := range changes {
-		p.c.Changed(c)
+		p.c.OnChange(c)
 	}
 }
 
 // set keeps a word that is the newest of its life, and reports whether it says something
 // else than the one before. The caller holds the lock.
 func (p *Pacer) set(l Limit) (c Change, changed bool) {
-	e := p.lives[l.Life]
+	e := p.lives[l.Incarnation]
 	if e == nil {
 		if len(p.lives) >= mostLimits {
 			return Change{}, false
 		}
-		e = &entry{Limit: Limit{Life: l.Life}}
-		p.lives[l.Life] = e
+		e = &entry{Limit: Limit{Incarnation: l.Incarnation}}
+		p.lives[l.Incarnation] = e
 	}
-	before := e.Word
+	before := e.RateLimit
 	e.Limit = l
-	if before == l.Word {
+	if before == l.RateLimit {
 		return Change{}, false
 	}
 	if l.Limited != before.Limited {
@@ -200,7 +200,7 @@
 	}
 	e.reviewed = time.Time{}
 	p.review(e, time.Now())
-	return Change{Limit: l, Before: before, Share: e.share}, true
+	return Change{Limit: l, Previous: before, Rate: e.share}, true
 }
 
 // delta is by how much the number of limits changes.
@@ -211,8 +211,8 @@
 	return -1
 }
 
-// Open tells whether a request to a life of an endpoint may go out now.
-func (p *Pacer) Open(l Life, now time.Time) bool {
+// Ready tells whether a request to a life of an endpoint may go out now.
+func (p *Pacer) Ready(l Incarnation, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := p.lives[l]
@@ -228,7 +228,7 @@
 }
 
 // Take takes the turn of a request that goes out now, and reports whether it may.
-func (p *Pacer) Take(l Life, now time.Time) bool {
+func (p *Pacer) Take(l Incarnation, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	e := p.lives[l]
@@ -243,7 +243,7 @@
 }
 
 // Return gives back the turn of a request that has not gone out.
-func (p *Pacer) Return(l Life) {
+func (p *Pacer) Return(l Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.lives[l]; e != nil && e.share > 0 {
@@ -251,9 +251,9 @@
 	}
 }
 
-// Next is when the next turn comes at a life of an endpoint; zero if this daemon sends
+// NextSend is when the next turn comes at a life of an endpoint; zero if this daemon sends
 // nothing there.
-func (p *Pacer) Next(l Life) time.Time {
+func (p *Pacer) NextSend(l Incarnation) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if e := p.lives[l]; e != nil && e.Limited && e.share > 0 {
@@ -276,9 +276,9 @@
 	return out
 }
 
-// Told is what this daemon tells others: the newest words, those that ended a limit
+// Updates is what this daemon tells others: the newest words, those that ended a limit
 // included.
-func (p *Pacer) Told() []Limit {
+func (p *Pacer) Updates() []Limit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	out := make([]Limit, 0, len(p.lives))
@@ -291,7 +291,7 @@
 
 // Prune forgets what is known of lives that are not listed any more, and limits that ended
 // long ago.
-func (p *Pacer) Prune(listed func(Life) bool) {
+func (p *Pacer) Prune(listed func(Incarnation) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := p.c.Now().Add(-endedAge)
--- a/internal/route/pacer/pacer_test.go
+++ b/internal/route/pacer/pacer_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-var engine = Life{Endpoint: "i-1", Born: 7}
+var engine = Incarnation{Endpoint: "i-1", Born: 7}
 
 // What an endpoint may get in each window.
 const (
@@ -30,7 +30,7 @@
 	out := make([]*Pacer, n)
 	for i := range out {
 		others := slices.Delete(slices.Clone(names), i, i+1)
-		out[i] = New(Config{Host: names[i], Fleet: func() Fleet { return Fleet{Others: others, Size: n} }, Now: time.Now, Changed: func(Change) {}})
+		out[i] = New(Config{Host: names[i], Fleet: func() Fleet { return Fleet{Peers: others, Size: n} }, Now: time.Now, OnChange: func(Change) {}})
 	}
 	return out
 }
@@ -68,7 +68,7 @@
 	return sends
 }
 
-// Any number of daemons under any load keep together to any limit that they know.
+// HasLimits number of daemons under any load keep together to any limit that they know.
 func TestLimitHoldsUnderAnyLoad(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(rt, "daemons")
@@ -81,7 +81,7 @@
 		synctest.Test(t, func(*testing.T) {
 			fleet := daemons(n)
 			for _, p := range fleet {
-				p.Heard(engine, Named(limit), time.Now())
+				p.ObserveResponse(engine, NewRateLimit(limit), time.Now())
 			}
 			most = busiest(load(fleet, bursts))
 		})
@@ -97,7 +97,7 @@
 		for _, limit := range []float64{0, 0.3, 1, 2.7, 10, 40} {
 			fleet := daemons(195)
 			for _, p := range fleet {
-				p.Heard(engine, Named(limit), time.Now())
+				p.ObserveResponse(engine, NewRateLimit(limit), time.Now())
 			}
 			time.Sleep(time.Hour)
 			most := busiest(load(fleet, []burst{{[]int{3}, time.Second}, {[]int{3}, time.Second}, {[]int{3}, time.Second}, {[]int{3}, 0}}))
@@ -114,7 +114,7 @@
 		for _, limit := range []float64{0.2, 1, 7.5, 100} {
 			fleet := daemons(30)
 			for _, p := range fleet {
-				p.Heard(engine, Named(limit), time.Now())
+				p.ObserveResponse(engine, NewRateLimit(limit), time.Now())
 			}
 			sent := 0
 			const lasts = 60 * time.Second
@@ -138,48 +138,48 @@
 	type step struct {
 		pause  time.Duration
 		daemon int
-		word   Word
+		word   RateLimit
 	}
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
-			s := step{time.Duration(rapid.IntRange(2, 2000).Draw(t, "pause")) * time.Millisecond, rapid.IntRange(0, 3).Draw(t, "daemon"), Word{}}
+			s := step{time.Duration(rapid.IntRange(2, 2000).Draw(t, "pause")) * time.Millisecond, rapid.IntRange(0, 3).Draw(t, "daemon"), RateLimit{}}
 			if rapid.Bool().Draw(t, "limited") {
-				s.word = Named(float64(rapid.IntRange(0, 5).Draw(t, "limit")))
+				s.word = NewRateLimit(float64(rapid.IntRange(0, 5).Draw(t, "limit")))
 			}
 			return s
 		}), 1, 12).Draw(rt, "steps")
 		swaps := rapid.SliceOfN(rapid.IntRange(0, 50), 200, 200).Draw(rt, "order")
 		fleet := daemons(4)
-		last := Word{}
+		last := RateLimit{}
 		synctest.Test(t, func(*testing.T) {
 			var news []Limit
 			for _, s := range steps {
 				time.Sleep(s.pause)
 				p := fleet[s.daemon]
 				// Who has not heard of a limit has nothing to end.
-				p.Hear(news)
-				p.Heard(engine, s.word, time.Now())
-				news, last = append(news, p.Told()...), s.word
+				p.Merge(news)
+				p.ObserveResponse(engine, s.word, time.Now())
+				news, last = append(news, p.Updates()...), s.word
 			}
 			for _, p := range fleet {
 				for _, n := range swaps {
 					if len(news) > 0 {
-						p.Hear(news[n%len(news):][:1])
+						p.Merge(news[n%len(news):][:1])
 					}
 				}
-				p.Hear(news)
+				p.Merge(news)
 				slices.Reverse(news)
-				p.Hear(news)
+				p.Merge(news)
 				slices.Reverse(news)
 			}
 		})
 		for i, p := range fleet {
 			limits := p.Limits()
-			if last.Limited != (len(limits) > 0) || last.Limited && limits[0].Word != last {
+			if last.Limited != (len(limits) > 0) || last.Limited && limits[0].RateLimit != last {
 				rt.Fatalf("daemon %d believes %+v, the last word was %+v", i, limits, last)
 			}
-			if p.Any() != last.Limited {
-				rt.Fatalf("daemon %d: any limit: %v", i, p.Any())
+			if p.HasLimits() != last.Limited {
+				rt.Fatalf("daemon %d: any limit: %v", i, p.HasLimits())
 			}
 		}
 	})
@@ -191,14 +191,14 @@
 		p := daemons(1)[0]
 		before := time.Now()
 		time.Sleep(time.Millisecond)
-		p.Heard(engine, Named(1), time.Now())
+		p.ObserveResponse(engine, NewRateLimit(1), time.Now())
 		time.Sleep(time.Millisecond)
-		p.Heard(engine, Word{}, before)
-		if !p.Any() {
+		p.ObserveResponse(engine, RateLimit{}, before)
+		if !p.HasLimits() {
 			t.Error("an answer to an earlier request ended the limit")
 		}
-		p.Heard(engine, Word{}, time.Now())
-		if p.Any() {
+		p.ObserveResponse(engine, RateLimit{}, time.Now())
+		if p.HasLimits() {
 			t.Error("the limit did not end")
 		}
 	})
@@ -208,8 +208,8 @@
 func TestLimitIsOfOneLife(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := daemons(9)[0]
-		p.Heard(engine, Named(0.1), time.Now())
-		next := Life{engine.Endpoint, engine.Born + 1}
+		p.ObserveResponse(engine, NewRateLimit(0.1), time.Now())
+		next := Incarnation{engine.Endpoint, engine.Born + 1}
 		for range 20 {
 			if !p.Take(next, time.Now()) {
 				t.Fatal("a new life is held to the limit of the one before")
@@ -221,8 +221,8 @@
 // A daemon that hears nobody of a fleet of forty sends a fortieth of the limit.
 func TestDaemonThatIsCutOffSendsItsPart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := New(Config{Host: "alone", Fleet: func() Fleet { return Fleet{Size: 40} }, Now: time.Now, Changed: func(Change) {}})
-		p.Heard(engine, Named(2), time.Now())
+		p := New(Config{Host: "alone", Fleet: func() Fleet { return Fleet{Size: 40} }, Now: time.Now, OnChange: func(Change) {}})
+		p.ObserveResponse(engine, NewRateLimit(2), time.Now())
 		sent := 0
 		for begun := time.Now(); time.Since(begun) < 100*time.Second; time.Sleep(10 * time.Millisecond) {
 			if p.Take(engine, time.Now()) {
@@ -240,16 +240,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		p := daemons(1)[0]
 		for i := range mostLimits + 10 {
-			p.Heard(Life{Endpoint: identifier.Endpoint(fmt.Sprint(i))}, Named(1), time.Now())
+			p.ObserveResponse(Incarnation{Endpoint: identifier.Endpoint(fmt.Sprint(i))}, NewRateLimit(1), time.Now())
 		}
 		if n := len(p.Limits()); n != mostLimits {
 			t.Errorf("%d limits are kept", n)
 		}
-		if n := len(p.Told()); n != mostTold {
+		if n := len(p.Updates()); n != mostTold {
 			t.Errorf("%d limits are told", n)
 		}
 		time.Sleep(2 * endedAge)
-		p.Prune(func(l Life) bool { return l.Endpoint == "3" })
+		p.Prune(func(l Incarnation) bool { return l.Endpoint == "3" })
 		if list := p.Limits(); len(list) != 1 || list[0].Endpoint != "3" {
 			t.Errorf("%d limits are left: %+v", len(list), list[:min(len(list), 3)])
 		}
--- a/internal/route/pacer/share.go
+++ b/internal/route/pacer/share.go
@@ -22,8 +22,8 @@
 
 // Fleet is the part of the fleet that a daemon hears.
 type Fleet struct {
-	// Others are the daemons that live and take work, without this one.
-	Others []identifier.Host
+	// Peers are the daemons that live and take work, without this one.
+	Peers []identifier.Host
 	// Size is the number of all daemons, those included that are not heard.
 	Size int
 	// Stopping: this daemon takes no new work.
@@ -56,14 +56,14 @@
 		return 0
 	}
 	perSecond := max(e.PerSecond, leastRate)
-	heard := len(p.fleet.Others) + 1
+	heard := len(p.fleet.Peers) + 1
 	senders := heard
 	if perSecond < float64(heard) {
 		senders = min(int(perSecond)+spareSenders, heard)
 	}
 	seed := xxhash.Sum64String(string(e.Endpoint))
 	own, before := rank(seed, p.c.Host), 0
-	for _, other := range p.fleet.Others {
+	for _, other := range p.fleet.Peers {
 		if rank(seed, other) > own {
 			before++
 		}
--- a/internal/route/poller/poller.go
+++ b/internal/route/poller/poller.go
@@ -40,8 +40,8 @@
 	Registry *registry.Registry
 	Ledger   *ledger.Ledger
 	Caller   *caller.Caller
-	// Observed is given each report, to pass it on.
-	Observed func(r *report.Report, taken time.Time)
+	// OnReport is given each report, to pass it on.
+	OnReport func(r *report.Report, taken time.Time)
 	Period   time.Duration
 }
 
@@ -92,7 +92,7 @@
 		return
 	}
 	p.c.Registry.Report(r, taken)
-	p.c.Observed(r, taken)
+	p.c.OnReport(r, taken)
 	if r.Model != "" {
 		p.cache(ctx, c)
 	}
--- a/internal/route/allotter/allotter.go
+++ b/internal/route/quotalimiter/allotter.go
@@ -44,7 +44,7 @@
 // A daemon that has just started sets aside the parts of all others until it has
 // heard them, and takes over the mean of the levels that they tell. They take from
 // theirs what it charged since its start, and no more: it knows nothing that they
-// do not. When nobody is left to tell, a [Record] of the levels tells it. A daemon that
+// do not. When nobody is left to tell, a [Snapshot] of the levels tells it. A daemon that
 // was paused or cut off, and finds that it has heard few of the others, takes over
 // theirs, too.
 //
@@ -52,7 +52,7 @@
 //
 //	if after := a.Admit(organisation, charge); after > 0 { refuse }
 //	a.Heard(news)
-package allotter
+package quotalimiter
 
 import (
 	"math"
@@ -165,14 +165,14 @@
 	Window  time.Duration
 	Overage float64
 	Slack   float64
-	// News is the age that the news of a daemon may reach; a second if nil.
-	News func() time.Duration
-	// Daemons estimates the number of daemons, heard or not; one if nil.
-	Daemons func() int
+	// GossipDelay is the age that the news of a daemon may reach; a second if nil.
+	GossipDelay func() time.Duration
+	// FleetSize estimates the number of daemons, heard or not; one if nil.
+	FleetSize func() int
 }
 
-// Allotter admits requests. It is safe for concurrent use.
-type Allotter struct {
+// Limiter admits requests. It is safe for concurrent use.
+type Limiter struct {
 	c     Config
 	start time.Time
 
@@ -183,7 +183,7 @@
 	aside   float64
 	counted time.Time
 	// kept is what was written down of the levels before this daemon's start.
-	kept *Record
+	kept *Snapshot
 	// heardAt is when any daemon was heard last, gap the longest time between two news
 	// of late.
 	heardAt time.Time
@@ -195,21 +195,21 @@
 }
 
 // New returns an allotter that has charged nothing.
-func New(c Config) *Allotter {
-	if c.Daemons == nil {
-		c.Daemons = func() int { return 1 }
+func New(c Config) *Limiter {
+	if c.FleetSize == nil {
+		c.FleetSize = func() int { return 1 }
 	}
-	if c.News == nil {
-		c.News = func() time.Duration { return time.Second }
+	if c.GossipDelay == nil {
+		c.GossipDelay = func() time.Duration { return time.Second }
 	}
-	return &Allotter{
+	return &Limiter{
 		c: c, start: time.Now(), buckets: make(map[identifier.Organisation]*bucket),
 		others: make(map[remoteKey]*remote), gap: firstGap,
 	}
 }
 
-// Verdict is the answer to one request, with the inputs that decided it.
-type Verdict struct {
+// Decision is the answer to one request, with the inputs that decided it.
+type Decision struct {
 	// RetryAfter is when there may be room, 0 if the request was admitted.
 	RetryAfter time.Duration
 	// Level is what the fleet's bucket held, and Rate its refill in a second.
@@ -221,14 +221,14 @@
 	// this daemon's part, and Share that of the fleet's demand which is asked for here, of
 	// Demand in a second in all.
 	Cause  Cause
-	Part   float64
+	ShareLevel   float64
 	Share  float64
 	Demand float64
 	// Used is the part of the limit that the fleet is taken to have used within the window.
 	Used float64
-	// Quiet is how long nobody has been heard, if this daemon takes itself to be cut off
+	// IsolatedFor is how long nobody has been heard, if this daemon takes itself to be cut off
 	// from all others, otherwise 0.
-	Quiet time.Duration
+	IsolatedFor time.Duration
 }
 
 // Cause is what had no room for a request.
@@ -236,25 +236,25 @@
 
 // The causes.
 const (
-	// Empty: too little is left of the fleet's bucket, SpentWindow: of what may be given out
+	// BucketEmpty: too little is left of the fleet's bucket, SpentWindow: of what may be given out
 	// within the window. SpentPart: more is asked for than flows in, and this daemon has
 	// given out its part. CutOff: so has one that is held to its equal part.
-	Empty       Cause = "bucket"
-	SpentWindow Cause = "window"
-	SpentPart   Cause = "part"
-	CutOff      Cause = "cut off"
+	BucketEmpty       Cause = "bucket"
+	WindowExhausted Cause = "window"
+	ShareExhausted   Cause = "part"
+	Isolated      Cause = "cut off"
 )
 
 // silence is the time after which a daemon counts as silent.
-func (a *Allotter) silence() time.Duration {
-	return max(leastSilence, time.Duration(silentNews*float64(a.c.News())))
+func (a *Limiter) silence() time.Duration {
+	return max(leastSilence, time.Duration(silentNews*float64(a.c.GossipDelay())))
 }
 
 // cutOff tells whether this daemon hears nobody any more. The others count as silent much
 // later, one by one; until then each of those that are cut off would take them for as idle
 // as they were, and serve a sudden load of its own clients alone as if it were the only one:
 // a third of sixty daemons gave out 1.4 times the quota.
-func (a *Allotter) cutOff(now time.Time) bool {
+func (a *Limiter) cutOff(now time.Time) bool {
 	if a.heardAt.IsZero() || len(a.others) == 0 {
 		return false
 	}
@@ -263,7 +263,7 @@
 
 // hear takes in that some daemon is heard now. A gap counts as twice the longest of late at
 // most: after a cut the next one is still noticed.
-func (a *Allotter) hear(now time.Time) {
+func (a *Limiter) hear(now time.Time) {
 	if !a.heardAt.IsZero() {
 		gap := now.Sub(a.heardAt)
 		faded := time.Duration(float64(a.gap) * math.Exp(-gap.Seconds()/gapMemory.Seconds()))
@@ -277,7 +277,7 @@
 
 // confine holds a bucket to this daemon's equal part while it is cut off. What it charged
 // since it heard somebody last, which the others don't know of, is paid back first.
-func (a *Allotter) confine(b *bucket, now time.Time) {
+func (a *Limiter) confine(b *bucket, now time.Time) {
 	was := b.alone
 	switch b.alone = a.cutOff(now); {
 	case b.alone && !was:
@@ -291,20 +291,20 @@
 }
 
 // Admit charges a request to its organisation, unless there is no room for it.
-func (a *Allotter) Admit(o *catalog.Organisation, charge float64) Verdict {
+func (a *Limiter) Admit(o *catalog.Organisation, charge float64) Decision {
 	if o == nil {
-		return Verdict{}
+		return Decision{}
 	}
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	b, unseen := a.bucket(o, charge, now)
 	b.asked += charge * math.Ln2 / demandHalf.Seconds()
-	v := Verdict{
-		Level: b.level() - unseen, Rate: b.rate, Reserved: a.reserved(now), Part: b.part, Share: b.share, Demand: b.all, Used: a.used(b, o, unseen),
+	v := Decision{
+		Level: b.level() - unseen, Rate: b.rate, Reserved: a.reserved(now), ShareLevel: b.part, Share: b.share, Demand: b.all, Used: a.used(b, o, unseen),
 	}
 	if b.alone {
-		v.Quiet = now.Sub(a.heardAt)
+		v.IsolatedFor = now.Sub(a.heardAt)
 	}
 	if o.RatePerSecond > 0 {
 		if missing, cause := b.missing(charge, v.Level); missing > 0 {
@@ -321,10 +321,10 @@
 // terms are what a quota gives out: the stated rate and burst, and parts of what
 // is tolerated beyond the quota within a window. Where news is too late for the
 // overage, the burst is smaller instead, but for fewRequests of the mean size.
-func (a *Allotter) terms(o *catalog.Organisation, mean float64) (rate, burst float64) {
+func (a *Limiter) terms(o *catalog.Organisation, mean float64) (rate, burst float64) {
 	window := a.c.Window.Seconds()
 	tolerated := (o.RatePerSecond*window+o.Burst)*a.c.Overage + a.c.Slack
-	late := unseenNews * max(a.c.News()-usualNews, 0).Seconds() * o.RatePerSecond
+	late := unseenNews * max(a.c.GossipDelay()-usualNews, 0).Seconds() * o.RatePerSecond
 	spare := tolerated - o.RatePerSecond*unseenTime.Seconds() - late
 	if spare < 0 {
 		least := max(leastBurst*o.Burst, min(o.Burst, fewRequests*mean))
@@ -335,18 +335,18 @@
 
 // saved is the part of the window's allowance that may be saved up and given out at
 // once: all of it where news is as usual, none where it is twice as old.
-func (a *Allotter) saved() float64 {
-	return max(1-max(a.c.News()-usualNews, 0).Seconds()/usualNews.Seconds(), 0)
+func (a *Limiter) saved() float64 {
+	return max(1-max(a.c.GossipDelay()-usualNews, 0).Seconds()/usualNews.Seconds(), 0)
 }
 
 // used is the part of an organisation's limit that the fleet is taken to have used within the
 // window, the tolerated overage left out.
-func (a *Allotter) used(b *bucket, o *catalog.Organisation, unseen float64) float64 {
+func (a *Limiter) used(b *bucket, o *catalog.Organisation, unseen float64) float64 {
 	return (b.recent.sum + unseen) / max(o.RatePerSecond*a.c.Window.Seconds()+o.Burst, 1)
 }
 
 // set brings the terms of a bucket up to date.
-func (a *Allotter) set(b *bucket, o *catalog.Organisation) {
+func (a *Limiter) set(b *bucket, o *catalog.Organisation) {
 	rate, burst := a.terms(o, b.presumedMean(o.Burst))
 	window := a.c.Window.Seconds()
 	saved := a.saved()
@@ -355,14 +355,14 @@
 	b.allowed = rate*window*(2-saved) + burst
 	b.rate, b.burst = rate+saved*burst/max(window, 1), burst+saved*rate*window
 	b.deep, b.saved = burst, saved
-	b.late = max(float64(a.c.News())/float64(usualNews), 1)
+	b.late = max(float64(a.c.GossipDelay())/float64(usualNews), 1)
 	b.presumed = a.presumed(o.Name)
 	b.low = lowPart * burst
 }
 
 // bucket returns an organisation's bucket as of now, and what the others are taken
 // to have charged of it unheard. charge is the size of the request that asks for it.
-func (a *Allotter) bucket(o *catalog.Organisation, charge float64, now time.Time) (b *bucket, unseen float64) {
+func (a *Limiter) bucket(o *catalog.Organisation, charge float64, now time.Time) (b *bucket, unseen float64) {
 	aside := a.reserved(now)
 	b = a.buckets[o.Name]
 	known := b != nil
@@ -391,7 +391,7 @@
 
 // refresh brings a bucket up to now. It returns what the others are taken to have
 // charged of it unheard, and what their clients ask for.
-func (a *Allotter) refresh(b *bucket, o identifier.Organisation, now time.Time) (unseen, asked float64) {
+func (a *Limiter) refresh(b *bucket, o identifier.Organisation, now time.Time) (unseen, asked float64) {
 	unseen, asked = a.unseen(o, now)
 	b.refill(now, unseen, a.reserved(now))
 	return unseen, asked
--- a/internal/route/allotter/allotter_test.go
+++ b/internal/route/quotalimiter/allotter_test.go
@@ -1,4 +1,4 @@
-package allotter
+package quotalimiter
 
 import (
 	"fmt"
@@ -23,7 +23,7 @@
 
 // fleet is a set of daemons that tell each other their accounts once a period.
 type fleet struct {
-	daemons  []*Allotter
+	daemons  []*Limiter
 	admitted []charge
 	// ideal is the share of the last load that a single bucket would admit.
 	ideal float64
@@ -35,8 +35,8 @@
 }
 
 // newProcess is an allotter of a fleet of daemons that has just started.
-func newProcess() *Allotter {
-	return New(Config{Window: window, Overage: overage, Slack: slack, Daemons: daemonCount})
+func newProcess() *Limiter {
+	return New(Config{Window: window, Overage: overage, Slack: slack, FleetSize: daemonCount})
 }
 
 // limitOf is what an organisation may be charged within a window, the tolerance
@@ -71,15 +71,15 @@
 	for to, d := range f.daemons {
 		for from, other := range f.daemons {
 			if from != to && !cut(from, to) {
-				d.Heard(f.news(from, other))
+				d.Merge(f.news(from, other))
 			}
 		}
 	}
 }
 
 // news is what a daemon tells the others.
-func (f *fleet) news(i int, d *Allotter) News {
-	return News{Host: identifier.Host(fmt.Sprint(i)), Incarnation: uint64(d.start.UnixNano()), Age: time.Since(d.start), Accounts: d.Accounts()}
+func (f *fleet) news(i int, d *Limiter) Update {
+	return Update{Host: identifier.Host(fmt.Sprint(i)), Incarnation: uint64(d.start.UnixNano()), Age: time.Since(d.start), Accounts: d.Accounts()}
 }
 
 func (f *fleet) admit(i int, o *catalog.Organisation, tokens float64) bool {
@@ -259,7 +259,7 @@
 	a := New(Config{Window: window, Overage: overage, Slack: slack})
 	o := desk(1e12)
 	for n := range 60 {
-		a.Heard(News{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Accounts: map[identifier.Organisation]Account{"desk": {Total: 1}}})
+		a.Merge(Update{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Accounts: map[identifier.Organisation]Account{"desk": {Total: 1}}})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -281,7 +281,7 @@
 		for n := 1; n < daemons; n++ {
 			time.Sleep(800 * time.Millisecond)
 			for k := 1; k <= n; k++ {
-				f.daemons[0].Heard(f.news(k, f.daemons[k]))
+				f.daemons[0].Merge(f.news(k, f.daemons[k]))
 			}
 		}
 		if level := f.daemons[0].Accounts()[o.Name].Level; level < -o.RatePerSecond {
@@ -300,7 +300,7 @@
 		started, ages, total := time.Now(), time.Duration(0), 0.0
 		tell := func() {
 			for n := range daemons - 1 {
-				a.Heard(News{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Age: time.Since(started) + ages, Accounts: map[identifier.Organisation]Account{
+				a.Merge(Update{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Age: time.Since(started) + ages, Accounts: map[identifier.Organisation]Account{
 					"desk": {Total: total / (daemons - 1), Level: o.Burst, Asked: 60_000 / (daemons - 1)},
 				}})
 			}
--- a/internal/route/allotter/bucket.go
+++ b/internal/route/quotalimiter/bucket.go
@@ -1,4 +1,4 @@
-package allotter
+package quotalimiter
 
 import (
 	"math"
@@ -127,9 +127,9 @@
 // missing tells how much of a charge there is no room for, and in what; none if it is not
 // above zero.
 func (b *bucket) missing(charge, level float64) (float64, Cause) {
-	cause := Empty
+	cause := BucketEmpty
 	if b.allowed-b.recent.sum < b.held {
-		cause = SpentWindow
+		cause = WindowExhausted
 	}
 	if charge <= smallPart*b.mean {
 		return charge - level - smallTime.Seconds()*b.rate, cause
@@ -139,11 +139,11 @@
 	// part is smaller than most requests.
 	if part := leastMissing - b.part; b.shared(level) && b.part <= 0 && part > missing {
 		if missing = part; level >= charge {
-			cause = SpentPart
+			cause = ShareExhausted
 		}
 	}
 	if b.alone {
-		cause = CutOff
+		cause = Isolated
 	}
 	return missing, cause
 }
--- a/internal/route/allotter/digest_test.go
+++ b/internal/route/quotalimiter/digest_test.go
@@ -1,4 +1,4 @@
-package allotter
+package quotalimiter
 
 import (
 	"fmt"
@@ -23,7 +23,7 @@
 		a := newProcess()
 		start := time.Now()
 		hear := func(host string, total float64) {
-			a.Heard(News{Host: identifier.Host(host), Incarnation: 1, Age: time.Since(start), Accounts: map[identifier.Organisation]Account{
+			a.Merge(Update{Host: identifier.Host(host), Incarnation: 1, Age: time.Since(start), Accounts: map[identifier.Organisation]Account{
 				o.Name: {Total: total, Asked: 1000},
 			}})
 		}
@@ -61,7 +61,7 @@
 		start, total := time.Now(), 0.0
 		tell := func() {
 			for n := range daemons - 1 {
-				a.Heard(News{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Age: time.Since(start), Accounts: map[identifier.Organisation]Account{
+				a.Merge(Update{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Age: time.Since(start), Accounts: map[identifier.Organisation]Account{
 					o.Name: {Total: total / (daemons - 1), Level: o.Burst, Asked: 60_000 / (daemons - 1)},
 				}})
 			}
@@ -96,7 +96,7 @@
 		tell := func() {
 			for n := range daemons - 1 {
 				time.Sleep(100 * time.Microsecond)
-				a.Heard(News{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Age: time.Minute + time.Since(start), Accounts: map[identifier.Organisation]Account{
+				a.Merge(Update{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Age: time.Minute + time.Since(start), Accounts: map[identifier.Organisation]Account{
 					o.Name: {Total: total / (daemons - 1), Level: left, Asked: used / (daemons - 1)},
 				}})
 			}
@@ -135,15 +135,15 @@
 		o := desk(100_000)
 		a := New(Config{Window: window, Overage: overage, Slack: slack})
 		a.Admit(o, 1)
-		a.Heard(News{Host: "other", Incarnation: 1, Accounts: map[identifier.Organisation]Account{o.Name: {}}})
+		a.Merge(Update{Host: "other", Incarnation: 1, Accounts: map[identifier.Organisation]Account{o.Name: {}}})
 		time.Sleep(period)
-		a.Heard(News{Host: "other", Incarnation: 1, Age: period, Accounts: map[identifier.Organisation]Account{o.Name: {Total: 150e6}}})
+		a.Merge(Update{Host: "other", Incarnation: 1, Age: period, Accounts: map[identifier.Organisation]Account{o.Name: {Total: 150e6}}})
 		if v := a.Admit(o, tokens); v.RetryAfter == 0 || v.Level > -o.RatePerSecond {
 			t.Errorf("%+v after 150 million tokens", v)
 		}
 		for range int(window/period) + 1 {
 			time.Sleep(period)
-			a.Heard(News{Host: "other", Incarnation: 1, Age: time.Since(a.start), Accounts: map[identifier.Organisation]Account{o.Name: {Total: 150e6}}})
+			a.Merge(Update{Host: "other", Incarnation: 1, Age: time.Since(a.start), Accounts: map[identifier.Organisation]Account{o.Name: {Total: 150e6}}})
 		}
 		if v := a.Admit(o, 1); v.RetryAfter > 0 {
 			t.Errorf("%+v after the window", v)
@@ -155,7 +155,7 @@
 type mail struct {
 	to   int
 	due  time.Time
-	news News
+	news Update
 }
 
 // unruly is a fleet whose news is delayed, overtaken and bunched, and whose daemons
@@ -185,7 +185,7 @@
 		if now.Before(u.away[from]) {
 			continue
 		}
-		n := News{Host: identifier.Host(fmt.Sprint(from)), Incarnation: u.lives[from], Age: now.Sub(u.born[from]), Accounts: d.Accounts()}
+		n := Update{Host: identifier.Host(fmt.Sprint(from)), Incarnation: u.lives[from], Age: now.Sub(u.born[from]), Accounts: d.Accounts()}
 		delay := time.Duration(rapid.IntRange(1, 900).Draw(u.t, "delay")) * time.Millisecond
 		for to := range u.daemons {
 			if to != from {
@@ -205,7 +205,7 @@
 			left = append(left, m)
 			continue
 		}
-		u.daemons[m.to].Heard(m.news)
+		u.daemons[m.to].Merge(m.news)
 		// A bunch comes one by one, a fraction of a millisecond apart.
 		time.Sleep(100 * time.Microsecond)
 	}
@@ -298,13 +298,13 @@
 		o := desk(100_000)
 		f.tell(connected)
 		time.Sleep(memory / 2)
-		if f.daemons[0].Admit(o, 1).Quiet == 0 {
+		if f.daemons[0].Admit(o, 1).IsolatedFor == 0 {
 			t.Error("not cut off a quarter of a minute after the last news")
 		}
 		time.Sleep(memory)
 		f.daemons[0].Admit(o, 1)
-		if v := f.daemons[0].Admit(o, 1); v.Quiet > 0 {
-			t.Errorf("cut off for %v though no other daemon is left", v.Quiet)
+		if v := f.daemons[0].Admit(o, 1); v.IsolatedFor > 0 {
+			t.Errorf("cut off for %v though no other daemon is left", v.IsolatedFor)
 		}
 	})
 }
--- a/internal/route/allotter/large_test.go
+++ b/internal/route/quotalimiter/large_test.go
@@ -1,4 +1,4 @@
-package allotter
+package quotalimiter
 
 import (
 	"fmt"
@@ -70,15 +70,15 @@
 
 // hear makes a daemon hear another one.
 func (l *large) hear(to, from int) {
-	l.daemons[to].Heard(News{
+	l.daemons[to].Merge(Update{
 		Host: identifier.Host(fmt.Sprint(from)), Incarnation: l.lives[from], Age: time.Since(l.born[from]),
 		Accounts: l.daemons[from].Accounts(),
 	})
 }
 
-func (l *large) process() *Allotter {
+func (l *large) process() *Limiter {
 	return New(Config{
-		Window: window, Overage: overage, Slack: slack, News: func() time.Duration { return 4 * time.Second }, Daemons: func() int { return many },
+		Window: window, Overage: overage, Slack: slack, GossipDelay: func() time.Duration { return 4 * time.Second }, FleetSize: func() int { return many },
 	})
 }
 
@@ -319,7 +319,7 @@
 				l := newLarge(uint64(c.rate))
 				o := &catalog.Organisation{Name: "desk", RatePerSecond: c.rate, Burst: c.burst}
 				l.cutInASuddenLoad(t, o)
-				if l.daemons[0].Admit(o, tokens).Quiet == 0 || l.daemons[many-1].Admit(o, tokens).Quiet > 0 {
+				if l.daemons[0].Admit(o, tokens).IsolatedFor == 0 || l.daemons[many-1].Admit(o, tokens).IsolatedFor > 0 {
 					t.Error("not those that are cut off say so")
 				}
 			})
--- a/internal/route/allotter/news.go
+++ b/internal/route/quotalimiter/news.go
@@ -1,4 +1,4 @@
-package allotter
+package quotalimiter
 
 import (
 	"time"
@@ -37,8 +37,8 @@
 	Asked float64
 }
 
-// News is what another daemon tells, or what several daemons together do.
-type News struct {
+// Update is what another daemon tells, or what several daemons together do.
+type Update struct {
 	// Host is the daemon's, or names the group.
 	Host        identifier.Host
 	Incarnation uint64
@@ -89,7 +89,7 @@
 }
 
 // Accounts returns what is to be told to the others.
-func (a *Allotter) Accounts() map[identifier.Organisation]Account {
+func (a *Limiter) Accounts() map[identifier.Organisation]Account {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	out := make(map[identifier.Organisation]Account, len(a.buckets))
@@ -101,9 +101,9 @@
 	return out
 }
 
-// Heard takes in another daemon's accounts. What it charged since it was heard
+// Merge takes in another daemon's accounts. What it charged since it was heard
 // last is taken from the bucket now.
-func (a *Allotter) Heard(n News) {
+func (a *Limiter) Merge(n Update) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -143,7 +143,7 @@
 // off from most of the others or suspended. To charge all that such a daemon
 // charged meanwhile to a bucket that was not refilled meanwhile would refuse
 // requests for as long again.
-func (a *Allotter) knowsMore(r *remote, age, since time.Duration, now time.Time) bool {
+func (a *Limiter) knowsMore(r *remote, age, since time.Duration, now time.Time) bool {
 	switch {
 	case r.heard.IsZero():
 		return r.born.Before(a.start.Add(-sameAge))
@@ -158,7 +158,7 @@
 
 // alone tells whether this daemon has heard at most half of the others lately, as it
 // has not after a pause of its own, however young it is.
-func (a *Allotter) alone(now time.Time) bool {
+func (a *Limiter) alone(now time.Time) bool {
 	silence, lately, all := a.silence(), 0, 0
 	for _, r := range a.others {
 		all += r.daemons
@@ -171,7 +171,7 @@
 
 // account brings the bucket up to what some daemons tell after a time since they were
 // heard last; knows: they have followed the fleet while this daemon has not.
-func (a *Allotter) account(n *count, name identifier.Organisation, told Account, since time.Duration, knows bool, daemons int) {
+func (a *Limiter) account(n *count, name identifier.Organisation, told Account, since time.Duration, knows bool, daemons int) {
 	b := a.buckets[name]
 	if b == nil {
 		return
@@ -222,7 +222,7 @@
 // succeed ends the earlier processes of a host, of which a new one is heard: what
 // they are taken to have charged unheard ends with the start of the new one. It
 // reports false for news of a process that has been succeeded itself.
-func (a *Allotter) succeed(host identifier.Host, born, now time.Time) bool {
+func (a *Limiter) succeed(host identifier.Host, born, now time.Time) bool {
 	for k, r := range a.others {
 		if k.host != host {
 			continue
@@ -263,7 +263,7 @@
 }
 
 // adoptTold takes over the levels that were told before the bucket was needed.
-func (a *Allotter) adoptTold(b *bucket, o identifier.Organisation, now time.Time) {
+func (a *Limiter) adoptTold(b *bucket, o identifier.Organisation, now time.Time) {
 	unseen, _ := a.unseen(o, now)
 	for _, r := range a.others {
 		if n := r.byOrg[o]; n != nil && !n.noLevel && now.Sub(r.heard) < a.silence() {
@@ -278,7 +278,7 @@
 // what their clients ask for. What daemons that have fallen silent are taken to
 // have charged, until their parts are set aside, is taken from the bucket for good:
 // were it forgotten, a cut would give out three seconds' worth of the quota again.
-func (a *Allotter) unseen(o identifier.Organisation, now time.Time) (charged, asked float64) {
+func (a *Limiter) unseen(o identifier.Organisation, now time.Time) (charged, asked float64) {
 	silence := a.silence()
 	for _, r := range a.others {
 		n := r.byOrg[o]
@@ -308,7 +308,7 @@
 }
 
 // given is what is admitted of a demand: all, or its share of the rate.
-func (a *Allotter) given(o identifier.Organisation, asked float64) float64 {
+func (a *Limiter) given(o identifier.Organisation, asked float64) float64 {
 	b := a.buckets[o]
 	if b == nil || b.all <= b.rate {
 		return asked
@@ -317,7 +317,7 @@
 }
 
 // share is this daemon's part of what is asked of an organisation's quota.
-func (a *Allotter) share(own, all float64) float64 {
+func (a *Limiter) share(own, all float64) float64 {
 	equal := a.equal()
 	if all <= 0 {
 		return equal
@@ -326,7 +326,7 @@
 }
 
 // equal is the part of a quota that each daemon has where demands are not known.
-func (a *Allotter) equal() float64 {
+func (a *Limiter) equal() float64 {
 	all := 1
 	for _, r := range a.others {
 		all += r.daemons
@@ -336,7 +336,7 @@
 
 // reserved is the part of each quota that is set aside for daemons that are
 // not heard.
-func (a *Allotter) reserved(now time.Time) float64 {
+func (a *Limiter) reserved(now time.Time) float64 {
 	if now.Sub(a.counted) < reservedAge {
 		return a.aside
 	}
@@ -344,7 +344,7 @@
 	return a.aside
 }
 
-func (a *Allotter) countSilent(now time.Time) float64 {
+func (a *Limiter) countSilent(now time.Time) float64 {
 	latest := make(map[identifier.Host]*remote, len(a.others))
 	for k, r := range a.others {
 		if now.Sub(r.heard) > memory {
@@ -364,7 +364,7 @@
 			silent += r.silent
 		}
 	}
-	if daemons := a.c.Daemons(); now.Sub(a.start) < joining && all < daemons {
+	if daemons := a.c.FleetSize(); now.Sub(a.start) < joining && all < daemons {
 		silent += daemons - all
 		all = daemons
 	}
--- a/internal/route/allotter/recent.go
+++ b/internal/route/quotalimiter/recent.go
@@ -1,4 +1,4 @@
-package allotter
+package quotalimiter
 
 import "time"
 
--- a/internal/route/allotter/record.go
+++ b/internal/route/quotalimiter/record.go
@@ -1,4 +1,4 @@
-package allotter
+package quotalimiter
 
 import (
 	"math"
@@ -10,13 +10,13 @@
 // presumedAsked leaves room for a load that grows at the very restart.
 const presumedAsked = 1.5
 
-// Record is what is written down of an organisation's allowance for processes that
+// Snapshot is what is written down of an organisation's allowance for processes that
 // start when no other is left to tell.
 //
 // After a loss of all processes each new one gave out its own part of what flows in
 // only, a seventh in a fleet of seven, until it heard the others: for three quarters
 // of a second a third of all requests was refused at a fifth of the quotas.
-type Record struct {
+type Snapshot struct {
 	// At is when it was written down, by the clock that the daemons share.
 	At time.Time
 	// Levels are what was left of each allowance, and Asked what was asked for in a
@@ -25,11 +25,11 @@
 	Asked  map[identifier.Organisation]float64
 }
 
-// Record returns what is to be written down.
-func (a *Allotter) Record(at time.Time) Record {
+// Snapshot returns what is to be written down.
+func (a *Limiter) Snapshot(at time.Time) Snapshot {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	out := Record{At: at, Levels: make(map[identifier.Organisation]float64), Asked: make(map[identifier.Organisation]float64)}
+	out := Snapshot{At: at, Levels: make(map[identifier.Organisation]float64), Asked: make(map[identifier.Organisation]float64)}
 	now := time.Now()
 	for name, b := range a.buckets {
 		unseen, asked := a.refresh(b, name, now)
@@ -40,7 +40,7 @@
 
 // Restore takes over a record that is an age old. Levels that other daemons tell go
 // before it.
-func (a *Allotter) Restore(r Record, age time.Duration) {
+func (a *Limiter) Restore(r Snapshot, age time.Duration) {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -57,7 +57,7 @@
 // restore sets a bucket that nobody told of to what was written down, less all that
 // was asked for since: the daemons may have lived on. A part of it that is set aside
 // for daemons which are not heard is charged at once.
-func (a *Allotter) restore(b *bucket, o identifier.Organisation, now time.Time) {
+func (a *Limiter) restore(b *bucket, o identifier.Organisation, now time.Time) {
 	if a.kept == nil {
 		return
 	}
@@ -78,7 +78,7 @@
 // presumed is the most that the fleet is taken to give out of a quota in a second. A
 // new process that has read a record takes the others, while it has not heard them, to
 // go on with presumedAsked times what was asked for.
-func (a *Allotter) presumed(o identifier.Organisation) float64 {
+func (a *Limiter) presumed(o identifier.Organisation) float64 {
 	if a.kept == nil || time.Since(a.start) >= joining {
 		return math.Inf(1)
 	}
--- a/internal/route/allotter/regroup.go
+++ b/internal/route/quotalimiter/regroup.go
@@ -1,4 +1,4 @@
-package allotter
+package quotalimiter
 
 import (
 	"time"
@@ -20,7 +20,7 @@
 // Were the others forgotten at once, this daemon would take all of the demand for its own
 // until it hears them in the new way, and give out the whole fleet's rate. So until half of
 // them are told anew, or for [regroupTime], they are taken to go on as before.
-func (a *Allotter) Regroup() {
+func (a *Limiter) Regroup() {
 	now := time.Now()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,7 +48,7 @@
 }
 
 // regrouped forgets the former groups once the new ones are known.
-func (a *Allotter) regrouped(now time.Time) {
+func (a *Limiter) regrouped(now time.Time) {
 	k := remoteKey{host: former}
 	old := a.others[k]
 	if old == nil {
--- a/internal/route/allotter/regroup_test.go
+++ b/internal/route/quotalimiter/regroup_test.go
@@ -1,4 +1,4 @@
-package allotter
+package quotalimiter
 
 import (
 	"testing"
@@ -10,8 +10,8 @@
 )
 
 // restOf is news of all other daemons together.
-func restOf(o *catalog.Organisation, age time.Duration, a Account) News {
-	return News{Host: "rest", Incarnation: 1, Age: age, Daemons: 23, Accounts: map[identifier.Organisation]Account{o.Name: a}}
+func restOf(o *catalog.Organisation, age time.Duration, a Account) Update {
+	return Update{Host: "rest", Incarnation: 1, Age: age, Daemons: 23, Accounts: map[identifier.Organisation]Account{o.Name: a}}
 }
 
 // A daemon gets its first request of an organisation of which the others have charged
@@ -22,7 +22,7 @@
 		o := desk(60_000)
 		a := newProcess()
 		time.Sleep(window)
-		a.Heard(restOf(o, window, Account{Total: 40_000, NoLevel: true, Asked: 20_000}))
+		a.Merge(restOf(o, window, Account{Total: 40_000, NoLevel: true, Asked: 20_000}))
 		if v := a.Admit(o, tokens); v.RetryAfter > 0 || v.Level < o.Burst/2 {
 			t.Errorf("refused, or hardly anything left: %+v", v)
 		}
@@ -38,16 +38,16 @@
 		const usual = 500_000
 		o := desk(usual)
 		a := New(Config{
-			Window: window, Overage: overage, Slack: slack, News: func() time.Duration { return 1500 * time.Millisecond },
-			Daemons: func() int { return 24 },
+			Window: window, Overage: overage, Slack: slack, GossipDelay: func() time.Duration { return 1500 * time.Millisecond },
+			FleetSize: func() int { return 24 },
 		})
 		time.Sleep(window)
 		full := o.Burst + 0.5*o.RatePerSecond*window.Seconds()
-		a.Heard(restOf(o, window, Account{Level: full, Asked: 1000}))
+		a.Merge(restOf(o, window, Account{Level: full, Asked: 1000}))
 		a.Admit(o, 1)
 		o.RatePerSecond, o.Burst = usual/8, usual/8
 		time.Sleep(100 * time.Millisecond)
-		a.Heard(restOf(o, window+100*time.Millisecond, Account{Level: full, Asked: 1000}))
+		a.Merge(restOf(o, window+100*time.Millisecond, Account{Level: full, Asked: 1000}))
 		if v := a.Admit(o, tokens); v.RetryAfter > 0 {
 			t.Errorf("refused under the lower quota: %+v", v)
 		}
@@ -65,7 +65,7 @@
 		for range 12 {
 			time.Sleep(time.Second)
 			total += 200_000
-			a.Heard(restOf(o, time.Since(start), Account{Total: total, Level: 400_000, Asked: 200_000}))
+			a.Merge(restOf(o, time.Since(start), Account{Total: total, Level: 400_000, Asked: 200_000}))
 			a.Admit(o, 1)
 		}
 		before := a.Accounts()[o.Name].Level
@@ -74,7 +74,7 @@
 			t.Errorf("the equal part is %.2f right after", equal)
 		}
 		for n := range 23 {
-			a.Heard(News{Host: identifier.Host(rune('a' + n)), Incarnation: 1, Age: time.Since(start), Accounts: map[identifier.Organisation]Account{
+			a.Merge(Update{Host: identifier.Host(rune('a' + n)), Incarnation: 1, Age: time.Since(start), Accounts: map[identifier.Organisation]Account{
 				o.Name: {Total: 0, Level: 400_000, Asked: 200_000 / 23},
 			}})
 		}
--- a/internal/route/allotter/window_test.go
+++ b/internal/route/quotalimiter/window_test.go
@@ -1,4 +1,4 @@
-package allotter
+package quotalimiter
 
 import (
 	"math/rand/v2"
@@ -73,7 +73,7 @@
 		f := newFleet()
 		const usual = 0.5 * 400_000 / tokens
 		f.load(r, o, usual, 20*time.Second, connected)
-		record := f.daemons[0].Record(time.Now())
+		record := f.daemons[0].Snapshot(time.Now())
 		time.Sleep(time.Second)
 		for i := range f.daemons {
 			f.daemons[i] = newProcess()
@@ -95,7 +95,7 @@
 			o := desk(200_000)
 			f := newFleet()
 			f.load(r, o, 64, 20*time.Second, connected)
-			record := f.daemons[0].Record(time.Now())
+			record := f.daemons[0].Snapshot(time.Now())
 			for i := range f.daemons {
 				f.daemons[i] = newProcess()
 				f.daemons[i].Restore(record, age)
@@ -116,7 +116,7 @@
 func TestSmallRequestLeavesRoomForAUsualOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate, small, usual = 60_000, 3_000, 50_000
-		a := New(Config{Window: 8 * time.Second, Overage: 0.1, News: func() time.Duration { return 2 * time.Second }})
+		a := New(Config{Window: 8 * time.Second, Overage: 0.1, GossipDelay: func() time.Duration { return 2 * time.Second }})
 		o := desk(rate)
 		time.Sleep(joining)
 		for _, size := range []float64{small, usual} {
@@ -133,18 +133,18 @@
 func TestVerdictSaysWhatHadNoRoom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate = 60_000
-		a := New(Config{Window: 8 * time.Second, Overage: 0.1, News: func() time.Duration { return 2 * time.Second }})
+		a := New(Config{Window: 8 * time.Second, Overage: 0.1, GossipDelay: func() time.Duration { return 2 * time.Second }})
 		o := desk(rate)
 		time.Sleep(joining)
 		if v := a.Admit(o, 0.9*rate); v.RetryAfter > 0 || v.Cause != "" {
 			t.Errorf("a first request: %+v", v)
 		}
-		if v := a.Admit(o, 0.9*rate); v.Cause != Empty || v.Used <= 0 || v.Used >= 1 {
+		if v := a.Admit(o, 0.9*rate); v.Cause != BucketEmpty || v.Used <= 0 || v.Used >= 1 {
 			t.Errorf("a second request at once: %+v", v)
 		}
 		// Another daemon asks for six times the rate: each gives out its part only.
 		for range 8 {
-			a.Heard(News{Host: "other", Incarnation: 1, Age: time.Minute, Accounts: map[identifier.Organisation]Account{o.Name: {Asked: 6 * rate}}})
+			a.Merge(Update{Host: "other", Incarnation: 1, Age: time.Minute, Accounts: map[identifier.Organisation]Account{o.Name: {Asked: 6 * rate}}})
 			time.Sleep(500 * time.Millisecond)
 		}
 		causes := make(map[Cause]int)
@@ -153,11 +153,11 @@
 			causes[v.Cause]++
 			time.Sleep(100 * time.Millisecond)
 		}
-		if causes[SpentPart] == 0 {
+		if causes[ShareExhausted] == 0 {
 			t.Errorf("causes %v", causes)
 		}
 		time.Sleep(time.Minute)
-		if v := a.Admit(o, 0.9*rate); v.Cause != CutOff && v.RetryAfter > 0 {
+		if v := a.Admit(o, 0.9*rate); v.Cause != Isolated && v.RetryAfter > 0 {
 			t.Errorf("cut off: %+v", v)
 		}
 	})
--- a/internal/route/registry/limit.go
+++ b/internal/route/registry/limit.go
@@ -9,21 +9,21 @@
 )
 
 // life names the present life of an endpoint as other daemons know it.
-func life(c *candidate.Candidate) pacer.Life { return pacer.Life{Endpoint: c.Endpoint, Born: c.Born} }
+func life(c *candidate.Candidate) pacer.Incarnation { return pacer.Incarnation{Endpoint: c.Endpoint, Born: c.Born} }
 
 // Life names the life of an endpoint that was chosen, as other daemons know it.
-func (k *Pick) Life() pacer.Life { return pacer.Life{Endpoint: k.Endpoint, Born: k.Born} }
+func (k *Pick) Life() pacer.Incarnation { return pacer.Incarnation{Endpoint: k.Endpoint, Born: k.Born} }
 
 // limit marks the candidates that take nothing more from this daemon now. The caller holds
 // the lock.
 func (r *Registry) limit(p *pool, now time.Time) {
-	limited := r.c.Pacer != nil && r.c.Pacer.Any()
+	limited := r.c.Pacer != nil && r.c.Pacer.HasLimits()
 	if !limited && !p.limited {
 		return
 	}
 	for i := range p.candidates {
 		c := &p.candidates[i]
-		c.Limited = limited && !r.c.Pacer.Open(life(c), now)
+		c.Limited = limited && !r.c.Pacer.Ready(life(c), now)
 	}
 	p.limited = limited
 }
@@ -76,7 +76,7 @@
 	case c.Resting:
 		return c.RestsUntil
 	case c.Limited:
-		return r.c.Pacer.Next(life(c))
+		return r.c.Pacer.NextSend(life(c))
 	}
 	return time.Time{}
 }
--- a/internal/route/registry/registry.go
+++ b/internal/route/registry/registry.go
@@ -79,15 +79,15 @@
 
 // Pacer holds requests to what endpoints say they take.
 type Pacer interface {
-	// Any tells whether some endpoint has a limit.
-	Any() bool
-	// Open tells whether a request may go to an endpoint now; Take takes its turn, and
+	// HasLimits tells whether some endpoint has a limit.
+	HasLimits() bool
+	// Ready tells whether a request may go to an endpoint now; Take takes its turn, and
 	// Return gives it back.
-	Open(l pacer.Life, now time.Time) bool
-	Take(l pacer.Life, now time.Time) bool
-	Return(l pacer.Life)
-	// Next is when the next turn comes, zero if none does.
-	Next(l pacer.Life) time.Time
+	Ready(l pacer.Incarnation, now time.Time) bool
+	Take(l pacer.Incarnation, now time.Time) bool
+	Return(l pacer.Incarnation)
+	// NextSend is when the next turn comes, zero if none does.
+	NextSend(l pacer.Incarnation) time.Time
 }
 
 type pool struct {
--- a/internal/route/registry/rest_test.go
+++ b/internal/route/registry/rest_test.go
@@ -88,13 +88,13 @@
 func TestLimitHoldsForRequestsThatWereChosen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := pacer.New(pacer.Config{
-			Host: "front-1", Now: time.Now, Changed: func(pacer.Change) {},
-			Fleet: func() pacer.Fleet { return pacer.Fleet{Others: []identifier.Host{"front-2"}, Size: 2} },
+			Host: "front-1", Now: time.Now, OnChange: func(pacer.Change) {},
+			Fleet: func() pacer.Fleet { return pacer.Fleet{Peers: []identifier.Host{"front-2"}, Size: 2} },
 		})
 		r := newRegistry(t, "h")
 		r.c.Pacer = p
 		before, _ := ask(r)
-		p.Heard(before.Life(), pacer.Named(0.5), time.Now())
+		p.ObserveResponse(before.Life(), pacer.NewRateLimit(0.5), time.Now())
 		if r.Due(before) {
 			t.Error("a request that had been chosen before would be sent")
 		}
--- a/internal/route/forecaster/forecaster.go
+++ b/internal/route/shedder/forecaster.go
@@ -19,7 +19,7 @@
 //
 //	v := forecaster.Decide(&forecaster.Input{...})
 //	if v.Refuse { tell the client v.RetryAfter }
-package forecaster
+package shedder
 
 import (
 	"math/rand/v2"
@@ -52,45 +52,45 @@
 	Route *catalog.Route
 	// Rank is the request's; 0 is the most urgent.
 	Rank int
-	// Queue is the predicted time until the request's own prompt is read: a long prompt
+	// QueueDelay is the predicted time until the request's own prompt is read: a long prompt
 	// alone is no reason to refuse it. Waited is the time since the request came, Left
 	// that until its deadline.
-	Queue  time.Duration
+	QueueDelay  time.Duration
 	Waited time.Duration
-	Left   time.Duration
+	Remaining   time.Duration
 }
 
-// Verdict is the decision.
-type Verdict struct {
+// Decision is the decision.
+type Decision struct {
 	Refuse bool
-	// Bearable is the longest wait that would have been accepted.
-	Bearable time.Duration
+	// MaxDelay is the longest wait that would have been accepted.
+	MaxDelay time.Duration
 	// RetryAfter is when the client should come back, if refused.
 	RetryAfter time.Duration
 }
 
-// Patience is how long the client of a stream waits for an event.
-func Patience(r *catalog.Route) time.Duration {
-	return max(leastPatience, patienceObjectives*r.Objective, patiencePauses*r.PauseObjective)
+// ClientTimeout is how long the client of a stream waits for an event.
+func ClientTimeout(r *catalog.Route) time.Duration {
+	return max(leastPatience, patienceObjectives*r.FirstEventObjective, patiencePauses*r.EventGapObjective)
 }
 
 // Decide decides for one request that has not been sent yet.
-func Decide(in *Input) Verdict {
-	v := Verdict{Bearable: in.Left}
+func Decide(in *Input) Decision {
+	v := Decision{MaxDelay: in.Remaining}
 	if in.Route.Kind == catalog.Streaming {
-		v.Bearable = min(v.Bearable, Patience(in.Route)-in.Waited)
+		v.MaxDelay = min(v.MaxDelay, ClientTimeout(in.Route)-in.Waited)
 	}
 	if in.Rank <= 0 {
-		v.Bearable *= urgentFactor
+		v.MaxDelay *= urgentFactor
 	}
-	if in.Queue <= v.Bearable {
+	if in.QueueDelay <= v.MaxDelay {
 		return v
 	}
 	v.Refuse = true
 	later := 1 + rankDelay*float64(min(max(in.Rank, 0), mostRanks))
-	after := time.Duration(float64(in.Queue-in.Route.Objective/2) * later)
+	after := time.Duration(float64(in.QueueDelay-in.Route.FirstEventObjective/2) * later)
 	after = max(after, leastRetry)
 	after += rand.N(after/2 + 1)
-	v.RetryAfter = max(min(after, time.Duration(leftPart*float64(in.Left))), 0)
+	v.RetryAfter = max(min(after, time.Duration(leftPart*float64(in.Remaining))), 0)
 	return v
 }
--- a/internal/route/forecaster/forecaster_test.go
+++ b/internal/route/shedder/forecaster_test.go
@@ -1,4 +1,4 @@
-package forecaster
+package shedder
 
 import (
 	"testing"
@@ -10,7 +10,7 @@
 )
 
 func route() *catalog.Route {
-	return &catalog.Route{Kind: catalog.Streaming, Objective: 500 * time.Millisecond, PauseObjective: 200 * time.Millisecond}
+	return &catalog.Route{Kind: catalog.Streaming, FirstEventObjective: 500 * time.Millisecond, EventGapObjective: 200 * time.Millisecond}
 }
 
 // Engines are asked for one and a half times what they can read, for twenty seconds. With
@@ -28,11 +28,11 @@
 		for range 20 * time.Second / step {
 			queue = max(queue-step, 0)
 			for due += asked; due >= 1; due-- {
-				if decide && Decide(&Input{Route: route(), Rank: 1, Queue: queue + step, Left: 10 * time.Second}).Refuse {
+				if decide && Decide(&Input{Route: route(), Rank: 1, QueueDelay: queue + step, Remaining: 10 * time.Second}).Refuse {
 					continue
 				}
 				queue += step
-				if queue <= Patience(route()) {
+				if queue <= ClientTimeout(route()) {
 					served++
 				}
 			}
@@ -52,17 +52,17 @@
 		ms := func(name string, most int) time.Duration {
 			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
 		}
-		in := &Input{Route: route(), Rank: rapid.IntRange(0, 9).Draw(t, "rank"), Queue: ms("queue", 20_000), Waited: ms("waited", 3000), Left: ms("left", 15_000)}
+		in := &Input{Route: route(), Rank: rapid.IntRange(0, 9).Draw(t, "rank"), QueueDelay: ms("queue", 20_000), Waited: ms("waited", 3000), Remaining: ms("left", 15_000)}
 		v := Decide(in)
-		bearable := min(Patience(in.Route)-in.Waited, in.Left)
-		if v.Refuse && in.Queue <= bearable && bearable > 0 {
-			t.Fatalf("refused a wait of %s, %s is bearable", in.Queue, bearable)
+		bearable := min(ClientTimeout(in.Route)-in.Waited, in.Remaining)
+		if v.Refuse && in.QueueDelay <= bearable && bearable > 0 {
+			t.Fatalf("refused a wait of %s, %s is bearable", in.QueueDelay, bearable)
 		}
-		if !v.Refuse && in.Rank > 0 && in.Queue > bearable {
-			t.Fatalf("a wait of %s is not refused, %s is bearable", in.Queue, bearable)
+		if !v.Refuse && in.Rank > 0 && in.QueueDelay > bearable {
+			t.Fatalf("a wait of %s is not refused, %s is bearable", in.QueueDelay, bearable)
 		}
-		if v.RetryAfter < 0 || v.RetryAfter > in.Left/3+time.Millisecond {
-			t.Fatalf("told to come back after %s with %s left", v.RetryAfter, in.Left)
+		if v.RetryAfter < 0 || v.RetryAfter > in.Remaining/3+time.Millisecond {
+			t.Fatalf("told to come back after %s with %s left", v.RetryAfter, in.Remaining)
 		}
 		urgent := *in
 		urgent.Rank = 0
--- a/internal/route/splitter/grant.go
+++ b/internal/route/splitter/grant.go
@@ -38,7 +38,7 @@
 func (s *Splitter) Hear(g *Grant, source string) (news bool) {
 	s.mu.Lock()
 	v := s.services[g.Service]
-	if v == nil || g.Order != v.order.Order() || v.grant.Order == g.Order && !g.newer(&v.grant) && g.Phase <= v.grant.Phase {
+	if v == nil || g.Order != v.order.OrderID() || v.grant.Order == g.Order && !g.newer(&v.grant) && g.Phase <= v.grant.Phase {
 		s.mu.Unlock()
 		return false
 	}
@@ -66,7 +66,7 @@
 	defer s.mu.Unlock()
 	var out []Grant
 	for _, v := range s.services {
-		if v.grant.Order == v.order.Order() {
+		if v.grant.Order == v.order.OrderID() {
 			out = append(out, v.grant)
 		}
 	}
@@ -75,7 +75,7 @@
 
 // granted tells whether the holder has lately said to go on.
 func (s *Splitter) granted(v *service, now time.Time) bool {
-	return v.grant.Order == v.order.Order() && now.Sub(v.grant.Said) < s.grantTime()
+	return v.grant.Order == v.order.OrderID() && now.Sub(v.grant.Said) < s.grantTime()
 }
 
 func (s *Splitter) grantTime() time.Duration {
--- a/internal/route/splitter/order.go
+++ b/internal/route/splitter/order.go
@@ -82,7 +82,7 @@
 		v = s.begin(r, now)
 	case r.Revision <= v.order.Revision:
 		return Change{}, false
-	case r.Order() != v.order.Order():
+	case r.OrderID() != v.order.OrderID():
 		before := v
 		v = s.begin(r, now)
 		v.left = before.left
@@ -100,7 +100,7 @@
 		}
 		return v.change(before, source, now, 0)
 	}
-	return Change{Service: r.Service, Target: r.Target, Order: r.Order(), After: v.phase(), Source: source}, true
+	return Change{Service: r.Service, Target: r.Target, Order: r.OrderID(), After: v.phase(), Source: source}, true
 }
 
 func (s *Splitter) begin(r *rollout.Rollout, now time.Time) *service {
@@ -121,7 +121,7 @@
 
 // phase is the furthest that is known, from the store or the holder.
 func (v *service) phase() rollout.Phase {
-	if v.grant.Order == v.order.Order() {
+	if v.grant.Order == v.order.OrderID() {
 		return max(v.order.Stored, v.grant.Phase)
 	}
 	return v.order.Stored
@@ -133,7 +133,7 @@
 		v.changed = now
 	}
 	return Change{
-		Service: v.order.Service, Target: v.order.Target, Order: v.order.Order(), Before: before, After: after, Source: source, Age: age,
+		Service: v.order.Service, Target: v.order.Target, Order: v.order.OrderID(), Before: before, After: after, Source: source, Age: age,
 	}, after != before
 }
 
@@ -159,7 +159,7 @@
 		v := s.services[name]
 		o := Order{Rollout: v.order, Since: v.ordered, Asked: v.asked, Earned: v.earned}
 		o.Phase = v.phase()
-		if v.grant.Order == o.Order() {
+		if v.grant.Order == o.OrderID() {
 			o.Granted, o.Ends = v.grant.Said, v.grant.Ends
 		}
 		out = append(out, o)
--- a/internal/route/splitter/splitter.go
+++ b/internal/route/splitter/splitter.go
@@ -192,7 +192,7 @@
 
 // earn takes in a request for a service.
 func (s *Splitter) earn(v *service, route string) {
-	if v.phase().Final() {
+	if v.phase().IsFinal() {
 		return
 	}
 	v.asked++
@@ -207,7 +207,7 @@
 // shares are the parts of all requests that may try the version, and that may move to it
 // before all do.
 func (s *Splitter) shares(v *service) (tries, moves float64) {
-	left := s.c.Share - shareMargin - v.order.Lead(s.c.Share).Seconds()/v.order.Duration.Seconds()
+	left := s.c.Share - shareMargin - v.order.CutoverLead(s.c.Share).Seconds()/v.order.Duration.Seconds()
 	all := v.perSecond(s.c.Now()) * float64(max(s.c.Daemons(), 1)) * v.order.Duration.Seconds()
 	tries = max(min(enoughTries/max(all, 1), tryPart*left), leastTries)
 	return tries, max(left-tries, 0)
@@ -232,7 +232,7 @@
 // few is the number of endpoints that try the version: each does about what an old one does
 // while what was earned before is spent, and there is another one to compare it with.
 func (s *Splitter) few(v *service) int {
-	old := v.order.Old(s.c.Endpoints(v.order.Service))
+	old := v.order.CountOld(s.c.Endpoints(v.order.Service))
 	tries, _ := s.shares(v)
 	return max(int(fewFactor*tries*float64(old)+0.5), leastFew)
 }
--- a/internal/route/splitter/splitter_test.go
+++ b/internal/route/splitter/splitter_test.go
@@ -68,7 +68,7 @@
 			case 0:
 				beat++
 				fencing := uint64(1 + rapid.IntRange(0, 1).Draw(t, "holder"))
-				said = append(said, Grant{Service: lm, Target: "v2", Order: d.r.Order(), Phase: phase, Fencing: fencing, Beat: beat, Said: d.now, Ends: d.now.Add(time.Minute)})
+				said = append(said, Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: phase, Fencing: fencing, Beat: beat, Said: d.now, Ends: d.now.Add(time.Minute)})
 			case 1, 2:
 				if len(said) > 0 {
 					g := said[rapid.IntRange(0, len(said)-1).Draw(t, "news")]
@@ -76,7 +76,7 @@
 					if g.Said.After(last[i]) {
 						last[i] = g.Said
 					}
-					if g.Phase.Final() {
+					if g.Phase.IsFinal() {
 						final[i] = g.Phase
 					}
 				}
@@ -164,7 +164,7 @@
 	d := newDaemons(1, func() float64 { return 0 })
 	s := d.list[0]
 	d.put(s)
-	g := Grant{Service: lm, Target: "v2", Order: d.r.Order(), Phase: rollout.Trying, Fencing: 1, Beat: 1, Said: d.now, Ends: d.now.Add(time.Minute)}
+	g := Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: rollout.Trying, Fencing: 1, Beat: 1, Said: d.now, Ends: d.now.Add(time.Minute)}
 	s.Hear(&g, "holder")
 	for range 200 {
 		if ask(s).Only == "v2" {
--- a/internal/route/splitter/tally.go
+++ b/internal/route/splitter/tally.go
@@ -81,7 +81,7 @@
 		return false
 	}
 	t.Sent++
-	r.counted = v.order.Order()
+	r.counted = v.order.OrderID()
 	return true
 }
 
@@ -113,7 +113,7 @@
 // tally returns where a run counts, nil if it does not. The caller holds the lock.
 func (s *Splitter) tally(r *Run) (*Tally, *service) {
 	v := s.services[r.Service]
-	if v == nil || v.phase().Final() {
+	if v == nil || v.phase().IsFinal() {
 		return nil, nil
 	}
 	k := tallyKey{r.Route, r.Endpoint}
@@ -122,7 +122,7 @@
 	}
 	t := v.tally[k]
 	if t == nil && len(v.tally) < mostTallies {
-		t = &Tally{Service: r.Service, Order: v.order.Order(), Route: r.Route, Endpoint: k.endpoint}
+		t = &Tally{Service: r.Service, Order: v.order.OrderID(), Route: r.Route, Endpoint: k.endpoint}
 		v.tally[k] = t
 	}
 	return t, v
@@ -161,7 +161,7 @@
 	defer s.mu.Unlock()
 	var out []Tally
 	for _, v := range s.services {
-		if v.phase().Final() {
+		if v.phase().IsFinal() {
 			continue
 		}
 		for _, t := range v.tally {
--- a/internal/serve/forwarder/forwarder.go
+++ b/internal/serve/forwarder/forwarder.go
@@ -171,7 +171,7 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	if d := state.Rest(); d > 0 {
+	if d := state.Backoff(); d > 0 {
 		f.c.Registry.Rest(pick, d)
 	}
 	if resp.Header.Get("Not-Run") == "true" {
--- a/internal/serve/handler/answer.go
+++ b/internal/serve/handler/answer.go
@@ -69,7 +69,7 @@
 
 func (e *events) whole() []byte {
 	e.start()
-	_ = e.send("data: " + frame.End + "\n\n")
+	_ = e.send("data: " + frame.EndMarker + "\n\n")
 	return nil
 }
 
--- a/internal/serve/handler/handler.go
+++ b/internal/serve/handler/handler.go
@@ -134,7 +134,7 @@
 func (h *Handler) live(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
 
 func (h *Handler) ready(w http.ResponseWriter, _ *http.Request) {
-	if h.Phase() != Serving || h.c.Keeper.InForce() == nil {
+	if h.Phase() != Serving || h.c.Keeper.Current() == nil {
 		http.Error(w, h.Phase().String(), http.StatusServiceUnavailable)
 		return
 	}
@@ -152,7 +152,7 @@
 		return
 	}
 	defer h.leave()
-	s := h.c.Keeper.InForce()
+	s := h.c.Keeper.Current()
 	if s == nil {
 		h.refuseEarly(w, r, refusal.New(refusal.NoConfiguration, "no configuration is in force yet").WithRetryAfter(retryAfter))
 		return
--- a/internal/serve/handler/model.go
+++ b/internal/serve/handler/model.go
@@ -125,7 +125,7 @@
 }
 
 func (h *Handler) models(w http.ResponseWriter, r *http.Request) {
-	s := h.c.Keeper.InForce()
+	s := h.c.Keeper.Current()
 	if s == nil {
 		h.refuseEarly(w, r, refusal.New(refusal.NoConfiguration, "no configuration is in force yet").WithRetryAfter(retryAfter))
 		return
--- a/internal/serve/handler/resume.go
+++ b/internal/serve/handler/resume.go
@@ -51,7 +51,7 @@
 
 // answers delivers an answer that was not ready when its daemon had to leave.
 func (h *Handler) answers(w http.ResponseWriter, r *http.Request) {
-	s := h.c.Keeper.InForce()
+	s := h.c.Keeper.Current()
 	if s == nil || !h.enter(true) {
 		h.refuseEarly(w, r, refusal.New(refusal.Draining, "this host cannot answer now").WithOutcome(refusal.Unknown).WithRetryAfter(time.Second))
 		return
@@ -89,7 +89,7 @@
 		h.collectHeld(ctx, w, e, rec)
 		return
 	}
-	s := h.c.Keeper.InForce()
+	s := h.c.Keeper.Current()
 	o := organisation(&s.Plan.Configuration, t.Organisation)
 	c, problem := h.c.Parser.Restore(&parser.SavedRequest{
 		Request: request(t.Instance), Instance: t.Instance, Organisation: o, Body: e.Body, Completions: e.Completions,
--- a/internal/serve/handler/witness.go
+++ b/internal/serve/handler/witness.go
@@ -148,7 +148,7 @@
 // collectHeld asks the witness again for an answer that its caller has come
 // to collect.
 func (h *Handler) collectHeld(ctx context.Context, w http.ResponseWriter, e *rpc.Envelope, rec *recorder.Record) {
-	s := h.c.Keeper.InForce()
+	s := h.c.Keeper.Current()
 	c := &call.Call{
 		Request: rec.Request, Instance: identifier.Request(e.Request), Plan: s.Plan, ConfigurationNumber: s.Number(),
 		Organisation: organisation(&s.Plan.Configuration, identifier.Organisation(e.Organisation)),
--- a/internal/serve/placer/placer.go
+++ b/internal/serve/placer/placer.go
@@ -85,8 +85,8 @@
 		Pool: identifier.Pool(q.Service), Blocks: blocks, Sizes: sizes,
 		Select: selector.Query{
 			Now: now, Seed: streamer.RoutingSeed(q.ID), Zone: p.c.Zone, PromptTokens: q.PromptTokens, OutputTokens: q.OutputTokens,
-			MaxInFlight: plainSlots, Target: max(q.Route.Objective-now.Sub(q.Received), time.Millisecond),
-			Prefill: int(p.c.Estimator.Of(q.Service, now).Speed), Decode: int(time.Second / p.c.Estimator.Token(q.Service)),
+			MaxInFlight: plainSlots, Target: max(q.Route.FirstEventObjective-now.Sub(q.Received), time.Millisecond),
+			Prefill: int(p.c.Estimator.Estimate(q.Service, now).Speed), Decode: int(time.Second / p.c.Estimator.TokenInterval(q.Service)),
 			RecomputeWeight: recomputeWeight, Tried: tried, Versions: v, LateCost: lateCost(q),
 			ZoneCost: zoneCostPerByte * float64(len(q.Body)+eventBytes*int(q.OutputTokens)/tokensPerEvent(s)),
 		},
@@ -108,12 +108,12 @@
 	if !q.HasTokenCounts {
 		return
 	}
-	p.c.Estimator.Observe(q.Service, estimator.Observation{Uncached: k.Uncached, Ahead: k.Ahead, Streams: k.Streams, Took: took})
+	p.c.Estimator.ObserveFirstEvent(q.Service, estimator.Observation{Uncached: k.Uncached, TokensAhead: k.Ahead, Streams: k.Streams, Took: took})
 }
 
 // ObserveStream takes in a stream that has ended, from its first event to its last.
 func (p *Placer) ObserveStream(q *request.Request, s *catalog.Service, events int, took time.Duration) {
-	p.c.Estimator.Wrote(q.Service, (events-1)*tokensPerEvent(s), took)
+	p.c.Estimator.ObserveStream(q.Service, (events-1)*tokensPerEvent(s), took)
 }
 
 // ExpectedDuration is how long a stream of so many events takes at an endpoint that is as quick as
@@ -122,15 +122,15 @@
 	if !q.HasTokenCounts {
 		return 0
 	}
-	return k.Usual + time.Duration(events*tokensPerEvent(s))*p.c.Estimator.Token(q.Service)
+	return k.Usual + time.Duration(events*tokensPerEvent(s))*p.c.Estimator.TokenInterval(q.Service)
 }
 
 // MaxUsualDuration is how long an answer may take at the most that is usual.
 func (p *Placer) MaxUsualDuration(q *request.Request) time.Duration {
 	if !q.HasTokenCounts {
-		return q.Route.Objective
+		return q.Route.FirstEventObjective
 	}
-	return q.Route.Objective/2 + lastsFactor*time.Duration(q.OutputTokens)*p.c.Estimator.Token(q.Service)/lastsPart
+	return q.Route.FirstEventObjective/2 + lastsFactor*time.Duration(q.OutputTokens)*p.c.Estimator.TokenInterval(q.Service)/lastsPart
 }
 
 // lateCost is what a late answer loses: nine tenths of the worth of a request,
--- a/internal/serve/receiver/receiver.go
+++ b/internal/serve/receiver/receiver.go
@@ -32,7 +32,7 @@
 	"brasschute/internal/config/catalog"
 	"brasschute/internal/config/versioner"
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/route/allotter"
+	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/quarantiner"
 	"brasschute/internal/serve/refusal"
 	"brasschute/internal/serve/relayer"
@@ -58,7 +58,7 @@
 
 // Quota admits requests within their organisations' quotas.
 type Quota interface {
-	Admit(q *request.Request) allotter.Verdict
+	Admit(q *request.Request) quotalimiter.Decision
 }
 
 // Quarantine says which requests must not reach endpoints.
@@ -118,7 +118,7 @@
 		v.refuse(w, q, &relayer.Result{Outcome: relayer.NotRun, Refusal: &relayer.Refusal{Status: http.StatusBadRequest, Reason: err.Error()}})
 		return
 	}
-	c := v.c.Versioner.InForce()
+	c := v.c.Versioner.Current()
 	if refused := v.resolve(c, q); refused != nil {
 		v.refuse(w, q, &relayer.Result{Outcome: relayer.NotRun, Refusal: refused})
 		return
@@ -131,12 +131,12 @@
 }
 
 // overQuota says why a request is not admitted.
-func overQuota(q *request.Request, v *allotter.Verdict) string {
+func overQuota(q *request.Request, v *quotalimiter.Decision) string {
 	reason := fmt.Sprintf("not run: over the organisation's quota (%s): charge %.0f, left %.0f, %.0f a second, %.2f set aside, "+
 		"used %.2f of the limit, own part %.0f, share %.3f of %.0f asked a second",
-		v.Cause, q.Charge(), v.Level, v.Rate, v.Reserved, v.Used, v.Part, v.Share, v.Demand)
-	if v.Quiet > 0 {
-		reason += fmt.Sprintf(", cut off for %.1f s", v.Quiet.Seconds())
+		v.Cause, q.Charge(), v.Level, v.Rate, v.Reserved, v.Used, v.ShareLevel, v.Share, v.Demand)
+	if v.IsolatedFor > 0 {
+		reason += fmt.Sprintf(", cut off for %.1f s", v.IsolatedFor.Seconds())
 	}
 	return reason
 }
--- a/internal/serve/receiver/receiver_test.go
+++ b/internal/serve/receiver/receiver_test.go
@@ -39,7 +39,7 @@
 				Number: 7, Routes: []catalog.Route{{Host: "a.example", Prefix: "/", Targets: []catalog.Target{{Service: "app", Weight: 1}}}},
 				Organisations: []catalog.Organisation{{Name: "desk", Keys: []string{"k"}}},
 			}))
-			v.Told(c.told)
+			v.ObserveNumber(c.told)
 			retry := time.Duration(0)
 			receiver := New(Config{
 				Versioner: v, Observer: o,
--- a/internal/serve/relayer/attempt.go
+++ b/internal/serve/relayer/attempt.go
@@ -39,10 +39,10 @@
 func (j *job) attempt(ctx context.Context, pick *registry.Pick) (err error) {
 	result := registry.Neutral
 	uncached := j.q.PromptTokens - j.res.Attempts[len(j.res.Attempts)-1].Cached
-	j.r.c.Demand.Placed(j.q.Service, uncached)
+	j.r.c.Demand.CountPlaced(j.q.Service, uncached)
 	defer func() {
 		j.r.c.Registry.Release(pick, result)
-		j.r.c.Demand.Ended(j.q.Service)
+		j.r.c.Demand.CountEnded(j.q.Service)
 	}()
 	begun, events := time.Now(), j.res.Events
 	outer := ctx
@@ -106,14 +106,14 @@
 
 // unsent tells whether no byte of a request left this host.
 func unsent(err error) bool {
-	return errors.Is(err, sender.ErrUnsent) || errors.Is(err, sender.ErrWithdrawn)
+	return errors.Is(err, sender.ErrUnsent) || errors.Is(err, sender.ErrCanceled)
 }
 
 // listen ends an attempt whose endpoint stays silent for too long, where another
 // one may get the request. An endpoint that has gone dark would otherwise keep
 // it until the client gives up. heard stops the watch.
 func (j *job) listen(ctx context.Context) (watched context.Context, heard func()) {
-	if !j.q.Route.Repeatable() || j.sends+1 >= j.q.Route.MaxAttempts || j.res.Events > 0 {
+	if !j.q.Route.Retryable() || j.sends+1 >= j.q.Route.MaxAttempts || j.res.Events > 0 {
 		return ctx, func() {}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -124,7 +124,7 @@
 // longSilence is the time without a byte after which an endpoint is not waited
 // for any more where there is a choice.
 func (j *job) longSilence() time.Duration {
-	return max(silentObjectives*j.q.Route.Objective, leastSilence)
+	return max(silentObjectives*j.q.Route.FirstEventObjective, leastSilence)
 }
 
 // judge says what an attempt's end tells about the endpoint's health. When the
@@ -139,7 +139,7 @@
 		return registry.Neutral
 	case errors.Is(err, sender.ErrUnsent) && outer.Err() == nil:
 		return registry.Unreachable
-	case errors.Is(err, errClient), errors.Is(err, errFailed), errors.Is(err, sender.ErrWithdrawn):
+	case errors.Is(err, errClient), errors.Is(err, errFailed), errors.Is(err, sender.ErrCanceled):
 		return registry.Neutral
 	case outer.Err() != nil && (j.head || time.Since(begun) < j.longSilence()):
 		return registry.Neutral
@@ -157,7 +157,7 @@
 		Ready: func() bool {
 			return j.r.c.Registry.Usable(pick) && !j.admit().Held && !j.r.c.Versions.Blocked(j.q.Service, pick.Version) && j.r.c.Registry.Due(pick)
 		},
-		Own: func(h http.Header) bool {
+		Matches: func(h http.Header) bool {
 			id := codec.DecodeReply(0, h).ID
 			return id == "" || id == j.q.ID
 		},
@@ -169,14 +169,14 @@
 func (j *job) take(ctx context.Context, x *sender.Exchange, reply *request.Reply, pick *registry.Pick, begun time.Time, heard func()) error {
 	success := reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices
 	if success && (!reply.Signed || reply.Encoded || reply.ID != j.q.ID) {
-		return fmt.Errorf("%w: not signed, encoded or of another request", sender.ErrBroken)
+		return fmt.Errorf("%w: not signed, encoded or of another request", sender.ErrBadResponse)
 	}
 	if success && j.q.Route.Kind == catalog.Streaming {
 		return j.stream(ctx, x, pick, begun, heard)
 	}
 	body, err := io.ReadAll(io.LimitReader(x.Body, maxAnswer+1))
 	if err != nil || len(body) > maxAnswer {
-		return fmt.Errorf("%w: body cut after %d bytes", sender.ErrBroken, len(body))
+		return fmt.Errorf("%w: body cut after %d bytes", sender.ErrBadResponse, len(body))
 	}
 	if reply.Signed {
 		j.begin()
--- a/internal/serve/relayer/ending.go
+++ b/internal/serve/relayer/ending.go
@@ -33,7 +33,7 @@
 // and it was not this side that ended the attempt.
 func brokenOff(ctx context.Context, err error) bool {
 	own := errors.Is(err, errSilent) || errors.Is(err, errHeld)
-	return ctx.Err() == nil && !own && (errors.Is(err, sender.ErrLost) || errors.Is(err, sender.ErrBroken))
+	return ctx.Err() == nil && !own && (errors.Is(err, sender.ErrNoResponse) || errors.Is(err, sender.ErrBadResponse))
 }
 
 // mayTry tells whether another endpoint may get the request now.
@@ -41,7 +41,7 @@
 	if unsent(err) {
 		return j.unsent < maxUnsent
 	}
-	if j.mayHaveRun && !j.q.Route.Repeatable() || j.sends >= j.q.Route.MaxAttempts {
+	if j.mayHaveRun && !j.q.Route.Retryable() || j.sends >= j.q.Route.MaxAttempts {
 		return false
 	}
 	return j.r.c.Budget.Spend(j.q.Service)
--- a/internal/serve/relayer/relayer.go
+++ b/internal/serve/relayer/relayer.go
@@ -38,7 +38,7 @@
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/engine/sender"
 	"brasschute/internal/peer/reporter"
-	"brasschute/internal/route/forecaster"
+	"brasschute/internal/route/shedder"
 	"brasschute/internal/route/quarantiner"
 	"brasschute/internal/route/registry"
 	"brasschute/internal/route/selector"
@@ -134,9 +134,9 @@
 
 // Demand measures what is asked of services.
 type Demand interface {
-	Placed(s identifier.Service, uncached identifier.Tokens)
-	Ended(s identifier.Service)
-	Refused(s identifier.Service)
+	CountPlaced(s identifier.Service, uncached identifier.Tokens)
+	CountEnded(s identifier.Service)
+	CountRefused(s identifier.Service)
 }
 
 // Outcome says how a request ended.
@@ -283,14 +283,14 @@
 	pick, d := j.place()
 	if pick == nil {
 		j.res.Excluded = d.Excluded
-		j.r.c.Demand.Refused(j.q.Service)
+		j.r.c.Demand.CountRefused(j.q.Service)
 		j.giveUp(j.nobody(&d.Excluded))
 		return nil, true
 	}
 	if v := j.forecast(pick); v.Refuse {
 		j.r.c.Registry.Withdraw(pick)
-		j.r.c.Demand.Refused(j.q.Service)
-		j.giveUp(fmt.Sprintf("%s: %s of queue, bearable %s", reasonTooLate, pick.Wait().Round(time.Millisecond), v.Bearable.Round(time.Millisecond)), v.RetryAfter)
+		j.r.c.Demand.CountRefused(j.q.Service)
+		j.giveUp(fmt.Sprintf("%s: %s of queue, bearable %s", reasonTooLate, pick.Wait().Round(time.Millisecond), v.MaxDelay.Round(time.Millisecond)), v.RetryAfter)
 		return nil, true
 	}
 	j.res.Attempts = append(j.res.Attempts, Attempt{
@@ -303,11 +303,11 @@
 const reasonTooLate = "the first event would come too late"
 
 // forecast decides whether a request that has not been sent would be served too late.
-func (j *job) forecast(pick *registry.Pick) forecaster.Verdict {
+func (j *job) forecast(pick *registry.Pick) shedder.Decision {
 	if !j.q.HasTokenCounts || j.sends > 0 || j.unsent > 0 {
-		return forecaster.Verdict{}
+		return shedder.Decision{}
 	}
-	return forecaster.Decide(&forecaster.Input{
-		Route: j.q.Route, Rank: j.q.Rank(), Queue: pick.Wait(), Waited: time.Since(j.q.Received), Left: time.Until(j.q.Deadline()),
+	return shedder.Decide(&shedder.Input{
+		Route: j.q.Route, Rank: j.q.Rank(), QueueDelay: pick.Wait(), Waited: time.Since(j.q.Received), Remaining: time.Until(j.q.Deadline()),
 	})
 }
--- a/internal/serve/relayer/stream.go
+++ b/internal/serve/relayer/stream.go
@@ -60,9 +60,9 @@
 			j.r.c.Placer.ObserveStream(j.q, j.service, j.res.Events, time.Since(first))
 			return nil
 		case err != nil:
-			return fmt.Errorf("%w: after event %d: %w", sender.ErrBroken, j.last, err)
+			return fmt.Errorf("%w: after event %d: %w", sender.ErrBadResponse, j.last, err)
 		case len(buffer) > maxEvent:
-			return fmt.Errorf("%w: an event of over %d bytes", sender.ErrBroken, maxEvent)
+			return fmt.Errorf("%w: an event of over %d bytes", sender.ErrBadResponse, maxEvent)
 		case ctx.Err() != nil:
 			return ctx.Err()
 		}
--- a/internal/serve/relayer/version.go
+++ b/internal/serve/relayer/version.go
@@ -41,7 +41,7 @@
 		r.Left = err != nil
 	case unsent(err), errors.Is(err, errRefused), errors.Is(err, errClient), errors.Is(err, errHeld):
 	case errors.Is(err, errFailed), errors.Is(err, errSilent), errors.Is(err, errGap), outer.Err() != nil,
-		errors.Is(err, sender.ErrLost), errors.Is(err, sender.ErrBroken):
+		errors.Is(err, sender.ErrNoResponse), errors.Is(err, sender.ErrBadResponse):
 		r.Outcome = splitter.Failed
 	}
 	j.r.c.Versions.RunEnded(r)
--- a/internal/standin/engine/writer.go
+++ b/internal/standin/engine/writer.go
@@ -46,7 +46,7 @@
 	usage.CompletionTokens = identifier.Tokens(o.s.total)
 	f.Usage = &usage
 	o.send(f)
-	fmt.Fprintf(o.w, "data: %s\n\n", frame.End)
+	fmt.Fprintf(o.w, "data: %s\n\n", frame.EndMarker)
 	o.flush()
 }
 
