--- a/internal/fleet/promoter/promoter.go
+++ b/internal/fleet/promoter/promoter.go
@@ -140,9 +140,9 @@
 		known[id] = true
 		t := p.trials[id]
 		if t == nil {
-			t = &trial{counts: make(map[countKey]splitter.Tally), ends: o.Ends}
+			t = &trial{counts: make(map[countKey]splitter.Tally), ends: o.OldEndAt}
 			if t.ends.IsZero() {
-				t.ends = o.Since.Add(o.Duration - o.CutoverLead(p.c.Share))
+				t.ends = o.LearnedAt.Add(o.Duration - o.CutoverLead(p.c.Share))
 			}
 			p.trials[id] = t
 		}
--- a/internal/fleet/promoter/world_test.go
+++ b/internal/fleet/promoter/world_test.go
@@ -125,15 +125,15 @@
 	}
 	for range daemons {
 		s := splitter.New(splitter.Config{
-			Share: share, Slack: slack, Leave: revertTime, Daemons: func() int { return daemons }, Now: func() time.Time { return w.now },
+			CanaryShare: share, CanarySlack: slack, RollbackTime: revertTime, Daemons: func() int { return daemons }, Now: func() time.Time { return w.now },
 			Random: w.random.Float64, Endpoints: w.endpoints,
 		})
-		s.Put(nil, "store")
+		s.ApplyOrders(nil, "store")
 		w.daemons = append(w.daemons, s)
 	}
 	w.began = w.now
 	for _, s := range w.daemons {
-		w.post(func() { s.Put(map[identifier.Service]*rollout.Rollout{service: w.order}, "store") })
+		w.post(func() { s.ApplyOrders(map[identifier.Service]*rollout.Rollout{service: w.order}, "store") })
 	}
 	return w
 }
@@ -213,12 +213,12 @@
 		}
 		w.beat++
 		g := splitter.Grant{
-			Service: service, Target: newVersion, Order: step.Order.OrderID(), Phase: step.Phase, Fencing: 1, Beat: w.beat, Said: w.now, Ends: step.Ends,
+			Service: service, Target: newVersion, Order: step.Order.OrderID(), Phase: step.Phase, Fencing: 1, Sequence: w.beat, IssuedAt: w.now, OldEndAt: step.Ends,
 		}
 		if g.Phase == rollout.Complete {
 			g.Phase = rollout.Switching
 		}
-		w.daemons[0].Hear(&g, "holder")
+		w.daemons[0].ApplyGrant(&g, "holder")
 		each := w.post
 		if step.News {
 			each = func(do func()) {
@@ -226,7 +226,7 @@
 			}
 		}
 		for _, s := range w.daemons[1:] {
-			each(func() { s.Hear(&g, "holder") })
+			each(func() { s.ApplyGrant(&g, "holder") })
 		}
 		if step.Store && step.Phase > w.stored || step.Phase == rollout.Ordered && w.stored == rollout.Ordered {
 			w.store(max(step.Phase, rollout.Trying))
@@ -241,9 +241,9 @@
 	next.Revision++
 	next.Stored, next.Phase = p, p
 	w.order = &next
-	w.daemons[0].Put(map[identifier.Service]*rollout.Rollout{service: &next}, "store")
+	w.daemons[0].ApplyOrders(map[identifier.Service]*rollout.Rollout{service: &next}, "store")
 	for _, s := range w.daemons[1:] {
-		w.post(func() { s.Put(map[identifier.Service]*rollout.Rollout{service: &next}, "store") })
+		w.post(func() { s.ApplyOrders(map[identifier.Service]*rollout.Rollout{service: &next}, "store") })
 	}
 	if p != rollout.Complete {
 		return
@@ -267,17 +267,17 @@
 	}
 	s := w.daemons[i]
 	takes := time.Duration(float64(route.takes) * (1 + route.spread*(2*w.random.Float64()-1)))
-	v := s.Choose(&splitter.Ask{Service: service, Route: route.name, Lasts: 2 * route.takes})
+	v := s.Choose(&splitter.Query{Service: service, Route: route.name, MaxDuration: 2 * route.takes})
 	endpoints := w.endpoints(service)
 	version, few := identifier.Version(oldVersion), endpoints[oldVersion]
 	if v.Only != "" || few == 0 {
 		version, few = newVersion, endpoints[newVersion]
-		if v.Few > 0 {
-			few = min(few, v.Few)
+		if v.MaxEndpoints > 0 {
+			few = min(few, v.MaxEndpoints)
 		}
 	}
 	if few == 0 {
-		if v.Try {
+		if v.AllowFallback {
 			s.Fallback(service, &v)
 		}
 		version, few = oldVersion, w.old
@@ -330,16 +330,16 @@
 			w.late++
 		}
 	}
-	r.Took = takes
+	r.Elapsed = takes
 	if takes > clientsWait {
-		r.Took, r.Left = clientsWait, true
+		r.Elapsed, r.Abandoned = clientsWait, true
 	}
 	w.load[e]++
 	w.daemons[daemon].RunStarted(&r)
-	w.running = append(w.running, run{w.now.Add(r.Took), daemon, r, version})
+	w.running = append(w.running, run{w.now.Add(r.Elapsed), daemon, r, version})
 	if bad {
 		if w.bads++; w.bads == 50 {
-			w.fiftieth = w.now.Add(r.Took)
+			w.fiftieth = w.now.Add(r.Elapsed)
 		}
 	}
 }
--- a/internal/measure/experiment/experiment_test.go
+++ b/internal/measure/experiment/experiment_test.go
@@ -30,13 +30,13 @@
 	"brasschute/internal/measure/plotter"
 	"brasschute/internal/measure/collector"
 	"brasschute/internal/measure/workload"
-	"brasschute/internal/peer/ledger"
-	"brasschute/internal/peer/reporter"
+	"brasschute/internal/peer/membertracker"
+	"brasschute/internal/peer/crashreporter"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/platform/object"
 	"brasschute/internal/route/budgeter"
-	"brasschute/internal/route/evacuator"
+	"brasschute/internal/route/migrator"
 	"brasschute/internal/route/registry"
 	"brasschute/internal/serve/call"
 	"brasschute/internal/serve/recorder"
@@ -117,7 +117,7 @@
 type daemon struct {
 	registry  *registry.Registry
 	streamer  *streamer.Streamer
-	evacuator *evacuator.Evacuator
+	evacuator *migrator.Migrator
 }
 
 // RoundTrip calls a stand-in engine without a network.
@@ -222,29 +222,29 @@
 
 func (b *bench) addDaemon(i int) {
 	self := &rpc.Member{Host: fmt.Sprintf("entry-%d", i), AvailabilityZone: string(zone(i)), PeerAddress: fmt.Sprint(i)}
-	c := registry.Config{Ledger: ledger.New(ledger.Config{Self: self}), Price: b.plan.Price, Daemons: func() int { return daemons }}
+	c := registry.Config{LeavingHosts: membertracker.New(membertracker.Config{Self: self}), Price: b.plan.Price, Daemons: func() int { return daemons }}
 	if b.policy != ours {
 		c.Select = baseline.New(baseline.Kind(b.policy), b.seed+uint64(i)).Select
 	}
 	d := &daemon{}
-	c.Changed = func() {
+	c.OnChange = func() {
 		if d.streamer == nil {
 			return
 		}
 		d.streamer.ScheduleMoves()
 		if d.evacuator != nil {
-			d.evacuator.Hurry()
+			d.evacuator.Trigger()
 		}
 	}
 	d.registry = registry.New(c)
 	reach := caller.New(caller.Config{Transport: b})
 	if b.policy == ours {
-		d.evacuator = evacuator.New(evacuator.Config{Registry: d.registry, Caller: reach})
+		d.evacuator = migrator.New(migrator.Config{Registry: d.registry, Caller: reach})
 	}
 	d.streamer = streamer.New(streamer.Config{
 		Registry: d.registry, Caller: reach, Budgeter: budgeter.New(budgeter.Config{}), Zone: zone(i),
-		Quarantine: reporter.New(reporter.Config{
-			Dialer: noNetwork{}, Leaving: d.registry.Leaving, Spread: func(bool) {}, Logger: log.New(io.Discard), Metrics: tally.NoopScope,
+		Quarantine: crashreporter.New(crashreporter.Config{
+			Dialer: noNetwork{}, Leaving: d.registry.Leaving, OnNews: func(bool) {}, Logger: log.New(io.Discard), Metrics: tally.NoopScope,
 		}),
 	})
 	b.daemons = append(b.daemons, d)
@@ -281,7 +281,7 @@
 func (b *bench) later(r report.Report, ev engine.Events) {
 	time.AfterFunc(reportLag, func() {
 		for _, d := range b.daemons {
-			d.registry.Report(&r, r.Taken)
+			d.registry.ApplyReport(&r, r.Taken)
 		}
 	})
 	var kept []engine.Event
@@ -295,7 +295,7 @@
 	observer := b.daemons[int(r.Incarnation+uint64Of(r.Endpoint))%daemons]
 	time.AfterFunc(eventLag, func() {
 		for _, e := range kept {
-			observer.registry.Cached(r.Endpoint, e.Block, e.Stored)
+			observer.registry.ApplyCacheEvent(r.Endpoint, e.Block, e.Stored)
 		}
 	})
 }
--- a/internal/ops/chronicler/chronicler.go
+++ b/internal/ops/chronicler/chronicler.go
@@ -124,7 +124,7 @@
 // excluded says why endpoints could not be chosen.
 func excluded(x *selector.Excluded) string {
 	return fmt.Sprintf("%d leaving, %d ejected, %d full, %d tried, %d unknown service, %d silent, %d of another version, %d limited, %d resting",
-		x.Leaving, x.Ejected, x.Full, x.Tried, x.NotFound, x.Silent, x.Version, x.Limited, x.Resting)
+		x.Leaving, x.Ejected, x.Full, x.Tried, x.NotFound, x.Silent, x.Version, x.Limited, x.BackingOff)
 }
 
 func attempts(list []relayer.Attempt) string {
--- a/internal/ops/operator/operator.go
+++ b/internal/ops/operator/operator.go
@@ -42,8 +42,8 @@
 	"brasschute/internal/fleet/planner"
 	"brasschute/internal/fleet/repairer"
 	"brasschute/internal/fleet/trail"
-	"brasschute/internal/peer/exchanger"
-	"brasschute/internal/peer/ledger"
+	"brasschute/internal/peer/gossiper"
+	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/route/candidate"
 	"brasschute/internal/route/registry"
@@ -68,7 +68,7 @@
 	Keys     map[string]string
 	Keeper   *keeper.Keeper
 	Applier  *applier.Applier
-	Ledger   *ledger.Ledger
+	Ledger   *membertracker.Tracker
 	Registry *registry.Registry
 	Recorder *recorder.Recorder
 	// Peer returns a client for a peer's address.
@@ -178,7 +178,7 @@
 	var mu sync.Mutex
 	var left []*rpc.Member
 	o.each(ctx, peers, func(ctx context.Context, m *rpc.Member, p rpc.Peer) {
-		reply, err := p.Offer(ctx, exchanger.Reply(o.c.Keeper.Current()))
+		reply, err := p.Offer(ctx, gossiper.NewConfigurationReply(o.c.Keeper.Current()))
 		mu.Lock()
 		defer mu.Unlock()
 		reached[m.Host] = reached[m.Host] || err == nil
@@ -213,7 +213,7 @@
 	if s == nil {
 		return nil, twirp.NotFoundError("no configuration is in force yet; apply one with --from 0")
 	}
-	return exchanger.Reply(s), nil
+	return gossiper.NewConfigurationReply(s), nil
 }
 
 // History returns the newest changes.
--- a/internal/peer/aggregator/aggregator.go
+++ b/internal/peer/aggregator/aggregator.go
@@ -65,9 +65,9 @@
 // Account is what some daemons charged an organisation.
 type Account struct {
 	// Total is what was charged since they were heard first, Level the teller's estimate
-	// of what is left of the fleet's quota, Asked what is asked for in a second.
+	// of what is left of the fleet's quota, RequestRate what is asked for in a second.
 	// NoLevel: it has none.
-	Total, Level, Asked float64
+	Total, Level, RequestRate float64
 	NoLevel             bool
 }
 
@@ -121,17 +121,17 @@
 	}
 }
 
-// Own takes in this daemon's own digest.
-func (a *Aggregator) Own(d *rpc.Digest, now time.Time) {
+// ApplyOwn takes in this daemon's own digest.
+func (a *Aggregator) ApplyOwn(d *rpc.Digest, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.member(d, now)
 }
 
-// Hear takes in another daemon's digest. It returns what is news of the accounts: of a
+// Merge takes in another daemon's digest. It returns what is news of the accounts: of a
 // daemon of the own zone or of another zone to one that relays, of the rest of the fleet
 // to one that does not.
-func (a *Aggregator) Hear(d *rpc.Digest, relaying bool, now time.Time) (u Update, news bool) {
+func (a *Aggregator) Merge(d *rpc.Digest, relaying bool, now time.Time) (u Update, news bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	zone := identifier.AvailabilityZone(d.GetAvailabilityZone())
@@ -173,9 +173,9 @@
 	return Update{}, false
 }
 
-// Refused returns how many items of messages were left out since the last call: no
+// TakeRejected returns how many items of messages were left out since the last call: no
 // numbers, negative, or more than a fleet could give.
-func (a *Aggregator) Refused() int {
+func (a *Aggregator) TakeRejected() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	n := a.refused
@@ -256,23 +256,23 @@
 	for _, c := range charges {
 		o := c.GetOrganisation()
 		out[identifier.Organisation(o)] = Account{
-			Total: counted[o] - base[o], Level: c.GetLevel(), NoLevel: c.Level == nil, Asked: c.GetAskedPerSecond(),
+			Total: counted[o] - base[o], Level: c.GetLevel(), NoLevel: c.Level == nil, RequestRate: c.GetAskedPerSecond(),
 		}
 	}
 	return out
 }
 
-// Zone returns the sum of the own zone, this daemon included.
-func (a *Aggregator) Zone(now time.Time) *rpc.Summary {
+// ZoneSum returns the sum of the own zone, this daemon included.
+func (a *Aggregator) ZoneSum(now time.Time) *rpc.Summary {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sum(now)
 	return a.zone.message(nil)
 }
 
-// Rest returns the sum of the fleet, this daemon included, without one daemon of the own
+// FleetSumExcept returns the sum of the fleet, this daemon included, without one daemon of the own
 // zone.
-func (a *Aggregator) Rest(without identifier.Host, now time.Time) *rpc.Summary {
+func (a *Aggregator) FleetSumExcept(without identifier.Host, now time.Time) *rpc.Summary {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.sum(now)
--- a/internal/peer/aggregator/aggregator_test.go
+++ b/internal/peer/aggregator/aggregator_test.go
@@ -108,13 +108,13 @@
 		Host: d.host, AvailabilityZone: d.zone, Incarnation: d.life, Sequence: d.sequence, AgeMilli: f.now.Sub(d.born).Milliseconds(),
 		Relaying: f.relaying(d), Charges: []*rpc.Charge{{Organisation: desk, Total: d.total}},
 	}
-	d.Own(out, f.now)
+	d.ApplyOwn(out, f.now)
 	switch {
 	case !out.Relaying:
 	case to.zone != d.zone:
-		out.Summary = d.Zone(f.now)
+		out.Summary = d.ZoneSum(f.now)
 	case !f.relaying(to):
-		out.Summary = d.Rest(identifier.Host(to.host), f.now)
+		out.Summary = d.FleetSumExcept(identifier.Host(to.host), f.now)
 	}
 	return out
 }
@@ -127,7 +127,7 @@
 		to.before, to.heard, to.relays = to.others(), make(map[process]float64), relays
 		to.Rebase()
 	}
-	if u, news := to.Hear(digest, f.relaying(to), f.now); news {
+	if u, news := to.Merge(digest, f.relaying(to), f.now); news {
 		to.heard[process{u.Name, u.Incarnation}] = u.Accounts[desk].Total
 	}
 }
--- a/internal/peer/aggregator/bad_test.go
+++ b/internal/peer/aggregator/bad_test.go
@@ -15,7 +15,7 @@
 	now := time.Unix(1e9, 0)
 	a := New(Config{Host: "front-1", Zone: "a", Start: now.Add(-time.Minute)})
 	tell := func(sequence uint64, total float64) (Update, bool) {
-		return a.Hear(&rpc.Digest{
+		return a.Merge(&rpc.Digest{
 			Host: "front-2", AvailabilityZone: "b", Incarnation: 1, Sequence: sequence, AgeMilli: int64(sequence) * 1000, Relaying: true,
 			Summary: &rpc.Summary{
 				Daemons: 3, Silent: 7,
@@ -31,7 +31,7 @@
 		}, true, now)
 	}
 	tell(1, 1000)
-	if n := a.Refused(); n != 6 {
+	if n := a.TakeRejected(); n != 6 {
 		t.Errorf("%d items refused, 6 are impossible", n)
 	}
 	u, news := tell(2, 1500)
--- a/internal/peer/reporter/reporter.go
+++ b/internal/peer/crashreporter/reporter.go
@@ -8,14 +8,14 @@
 //
 // # Messages
 //
-// [Reporter.Told] is what a daemon puts into its messages to others, [Reporter.Heard] takes in
+// [Reporter.RPCSuspects] is what a daemon puts into its messages to others, [Reporter.MergeSuspects] takes in
 // theirs. News is spread at once, by whatever way the fleet's daemons have.
 //
 // # Usage
 //
 //	r := reporter.New(reporter.Config{Host: name, Dialer: d, Leaving: registry.Leaving, Spread: hurry, ...})
 //	r.ReportBreak(ctx, &reporter.Break{Fingerprint: f, Request: id, Pick: pick})
-package reporter
+package crashreporter
 
 import (
 	"context"
@@ -47,17 +47,17 @@
 	Dialer prober.Dialer
 	// Leaving tells whether an endpoint is known to leave.
 	Leaving func(*registry.Pick) (deadline time.Time, leaving bool)
-	// Life tells lives of an endpoint apart, in the same way at all daemons; the time of its
+	// Incarnation tells lives of an endpoint apart, in the same way at all daemons; the time of its
 	// start if nil.
-	Life func(*registry.Pick) identifier.Born
-	// Spread is told that there is news: of this daemon's own, or heard from another one.
-	Spread  func(own bool)
+	Incarnation func(*registry.Pick) identifier.Born
+	// OnNews is told that there is news: of this daemon's own, or heard from another one.
+	OnNews  func(own bool)
 	Logger  *log.Logger
 	Metrics tally.Scope
 }
 
-// Break is a request that an endpoint broke off.
-type Break struct {
+// BrokenRequest is a request that an endpoint broke off.
+type BrokenRequest struct {
 	Fingerprint identifier.Fingerprint
 	Request     identifier.Request
 	Pick        *registry.Pick
@@ -77,17 +77,17 @@
 
 // New returns a reporter that knows nothing.
 func New(c Config) *Reporter {
-	if c.Life == nil {
-		c.Life = func(k *registry.Pick) identifier.Born { return k.Born }
+	if c.Incarnation == nil {
+		c.Incarnation = func(k *registry.Pick) identifier.Born { return k.Born }
 	}
 	r := &Reporter{c: c, prober: prober.New(prober.Config{Dialer: c.Dialer}), lines: rate.NewLimiter(linesPerSecond, linesPerSecond)}
-	r.Quarantiner = quarantiner.New(quarantiner.Config{Host: c.Host, Changed: r.changed})
+	r.Quarantiner = quarantiner.New(quarantiner.Config{Host: c.Host, OnChange: r.changed})
 	return r
 }
 
 // ReportBreak looks whether an endpoint has ended that broke off a request. It returns when that is
 // found, or after [patience]; what is found later counts, too.
-func (r *Reporter) ReportBreak(ctx context.Context, b *Break) {
+func (r *Reporter) ReportBreak(ctx context.Context, b *BrokenRequest) {
 	if _, leaving := r.c.Leaving(b.Pick); leaving {
 		return
 	}
@@ -105,27 +105,27 @@
 }
 
 // look probes the endpoint that broke off a request.
-func (r *Reporter) look(ctx context.Context, b *Break) {
+func (r *Reporter) look(ctx context.Context, b *BrokenRequest) {
 	found := r.prober.Probe(ctx, b.Pick.Address)
 	r.c.Metrics.Tagged(map[string]string{"probe": found.String()}).Counter("requests_broken_off").Inc(1)
 	if found == prober.Listening {
 		return
 	}
-	life := r.c.Life(b.Pick)
+	life := r.c.Incarnation(b.Pick)
 	if r.lines.Allow() {
 		r.c.Logger.Info("endpoint ended under a request", "request", b.Request, "fingerprint", b.Fingerprint, "endpoint", b.Pick.Endpoint,
 			"born", life, "events", b.Events, "probe", found)
 	}
 	e := quarantiner.Ending{Endpoint: b.Pick.Endpoint, Born: life, Weak: b.Events > 0}
-	if found == prober.Refused && r.Ended(b.Fingerprint, e) {
-		r.c.Spread(true)
+	if found == prober.Refused && r.RecordEnding(b.Fingerprint, e) {
+		r.c.OnNews(true)
 	}
 }
 
 // Answered clears a request that an endpoint has run to its end.
 func (r *Reporter) Answered(f identifier.Fingerprint) {
-	if r.Quarantiner.Answered(f) {
-		r.c.Spread(true)
+	if r.Quarantiner.RecordAnswer(f) {
+		r.c.OnNews(true)
 	}
 }
 
@@ -134,7 +134,7 @@
 	lifted := r.Quarantiner.Lift(f)
 	r.c.Logger.Info("request lifted from quarantine", "fingerprint", f, "known", lifted)
 	if lifted {
-		r.c.Spread(true)
+		r.c.OnNews(true)
 	}
 	return lifted
 }
@@ -167,9 +167,9 @@
 	return strings.Join(out, "; ")
 }
 
-// Told is what this daemon tells others.
-func (r *Reporter) Told() []*rpc.Suspect {
-	list := r.Quarantiner.Told()
+// RPCSuspects is what this daemon tells others.
+func (r *Reporter) RPCSuspects() []*rpc.Suspect {
+	list := r.Quarantiner.Updates()
 	out := make([]*rpc.Suspect, len(list))
 	now := time.Now()
 	for i, s := range list {
@@ -184,8 +184,8 @@
 	return out
 }
 
-// Heard takes in what another daemon tells.
-func (r *Reporter) Heard(told []*rpc.Suspect) {
+// MergeSuspects takes in what another daemon tells.
+func (r *Reporter) MergeSuspects(told []*rpc.Suspect) {
 	if len(told) == 0 {
 		return
 	}
@@ -200,8 +200,8 @@
 			})
 		}
 	}
-	if r.Hear(list) {
-		r.c.Spread(false)
+	if r.Merge(list) {
+		r.c.OnNews(false)
 	}
 }
 
--- a/internal/peer/reporter/reporter_test.go
+++ b/internal/peer/crashreporter/reporter_test.go
@@ -1,4 +1,4 @@
-package reporter
+package crashreporter
 
 import (
 	"context"
@@ -43,7 +43,7 @@
 func newReporter(h host, leaving bool, spread *atomic.Int32) *Reporter {
 	return New(Config{
 		Host: "a", Dialer: h, Leaving: func(*registry.Pick) (time.Time, bool) { return time.Time{}, leaving },
-		Spread: func(own bool) {
+		OnNews: func(own bool) {
 			if own {
 				spread.Add(1)
 			}
@@ -70,7 +70,7 @@
 				var spread atomic.Int32
 				r := newReporter(c.h, c.leaving, &spread)
 				begun := time.Now()
-				r.ReportBreak(t.Context(), &Break{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}})
+				r.ReportBreak(t.Context(), &BrokenRequest{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}})
 				if took := time.Since(begun); took > patience {
 					t.Errorf("the request was held up for %v", took)
 				}
@@ -90,7 +90,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			var spread atomic.Int32
 			r := newReporter(host{time.Millisecond, syscall.ECONNREFUSED}, false, &spread)
-			r.ReportBreak(t.Context(), &Break{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}, Events: events})
+			r.ReportBreak(t.Context(), &BrokenRequest{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}, Events: events})
 			if got := r.List()[0].Endings[0].Weak; got != weak {
 				t.Errorf("after %d events: weak %v", events, got)
 			}
@@ -106,7 +106,7 @@
 	for i := range many {
 		many[i] = &rpc.Ending{Endpoint: string(rune('a' + i)), AgeMilli: int64(i)}
 	}
-	r.Heard([]*rpc.Suspect{
+	r.MergeSuspects([]*rpc.Suspect{
 		nil,
 		{},
 		{Fingerprint: "no endings"},
--- a/internal/peer/fetcher/fetcher.go
+++ b/internal/peer/fetcher/fetcher.go
@@ -52,16 +52,16 @@
 type Config struct {
 	// Kind of the objects that are fetched.
 	Kind string
-	// Ask returns what a peer knows of a kind after a revision. A *supplier.BusyError
+	// RequestSnapshot returns what a peer knows of a kind after a revision. A *supplier.BusyError
 	// says that it serves others first.
-	Ask func(ctx context.Context, address, kind string, after uint64) (*rpc.SnapshotReply, error)
-	// Others are peers to ask when a source fails.
-	Others func() []string
-	// Known is how far this daemon is, by the measure in which peers tell; Since the
+	RequestSnapshot func(ctx context.Context, address, kind string, after uint64) (*rpc.SnapshotReply, error)
+	// OtherPeers are peers to ask when a source fails.
+	OtherPeers func() []string
+	// KnownRevision is how far this daemon is, by the measure in which peers tell; SinceRevision the
 	// revision after which objects are wanted.
-	Known, Since func() uint64
-	// Take takes in what the peer at an address knows.
-	Take   func(address, kind string, r *rpc.SnapshotReply)
+	KnownRevision, SinceRevision func() uint64
+	// Apply takes in what the peer at an address knows.
+	Apply   func(address, kind string, r *rpc.SnapshotReply)
 	Logger *log.Logger
 }
 
@@ -138,7 +138,7 @@
 
 // next picks a source, or tells how long to wait for one; neither if none is ahead.
 func (f *Fetcher) next() (address string, told uint64, pause time.Duration, woken <-chan struct{}) {
-	known := f.c.Known()
+	known := f.c.KnownRevision()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := time.Now()
@@ -166,7 +166,7 @@
 // fetch asks a source once.
 func (f *Fetcher) fetch(address string, told uint64) {
 	began := time.Now()
-	reply, err := f.c.Ask(context.Background(), address, f.c.Kind, f.c.Since())
+	reply, err := f.c.RequestSnapshot(context.Background(), address, f.c.Kind, f.c.SinceRevision())
 	took := time.Since(began).Milliseconds()
 	var busy *supplier.BusyError
 	switch {
@@ -182,8 +182,8 @@
 	}
 	f.c.Logger.Info("newer objects fetched", "address", address, "kind", f.c.Kind, "told", told, "took_ms", took,
 		"objects", len(reply.GetObjects()), "bytes", proto.Size(reply))
-	f.c.Take(address, f.c.Kind, reply)
-	if f.c.Known() < told {
+	f.c.Apply(address, f.c.Kind, reply)
+	if f.c.KnownRevision() < told {
 		// It has less than was said, or is not as far yet.
 		f.rest(address, failedPause, true)
 	}
@@ -219,7 +219,7 @@
 
 // others are some of the peers that answered lately.
 func (f *Fetcher) others() []string {
-	all := f.c.Others()
+	all := f.c.OtherPeers()
 	rand.Shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
 	return all[:min(len(all), askOthers)]
 }
--- a/internal/peer/fetcher/fetcher_test.go
+++ b/internal/peer/fetcher/fetcher_test.go
@@ -22,14 +22,14 @@
 		revision, taken := uint64(1), uint64(0)
 		answer := make(chan struct{})
 		f := New(Config{
-			Kind: "servers", Logger: log.New(io.Discard), Others: func() []string { return nil },
-			Since: func() uint64 { return taken }, Known: func() uint64 { return taken },
-			Ask: func(context.Context, string, string, uint64) (*rpc.SnapshotReply, error) {
+			Kind: "servers", Logger: log.New(io.Discard), OtherPeers: func() []string { return nil },
+			SinceRevision: func() uint64 { return taken }, KnownRevision: func() uint64 { return taken },
+			RequestSnapshot: func(context.Context, string, string, uint64) (*rpc.SnapshotReply, error) {
 				found := &rpc.SnapshotReply{Revision: revision}
 				<-answer
 				return found, nil
 			},
-			Take: func(_, _ string, r *rpc.SnapshotReply) { taken = r.GetRevision() },
+			Apply: func(_, _ string, r *rpc.SnapshotReply) { taken = r.GetRevision() },
 		})
 		f.Want("a", 1)
 		synctest.Wait()
@@ -51,16 +51,16 @@
 		asked := make(map[string]int)
 		taken := uint64(0)
 		f := New(Config{
-			Logger: log.New(io.Discard), Others: func() []string { return []string{"b", "c"} },
-			Since: func() uint64 { return 0 }, Known: func() uint64 { return taken },
-			Ask: func(_ context.Context, address, _ string, _ uint64) (*rpc.SnapshotReply, error) {
+			Logger: log.New(io.Discard), OtherPeers: func() []string { return []string{"b", "c"} },
+			SinceRevision: func() uint64 { return 0 }, KnownRevision: func() uint64 { return taken },
+			RequestSnapshot: func(_ context.Context, address, _ string, _ uint64) (*rpc.SnapshotReply, error) {
 				asked[address]++
 				if address != "c" {
 					return nil, errors.New("silent")
 				}
 				return nil, nil
 			},
-			Take: func(string, string, *rpc.SnapshotReply) { taken = 1 },
+			Apply: func(string, string, *rpc.SnapshotReply) { taken = 1 },
 		})
 		f.Want("a", 1)
 		time.Sleep(time.Second)
@@ -78,15 +78,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		taken, from := uint64(0), ""
 		f := New(Config{
-			Logger: log.New(io.Discard), Others: func() []string { return nil },
-			Since: func() uint64 { return 0 }, Known: func() uint64 { return taken },
-			Ask: func(_ context.Context, address, _ string, _ uint64) (*rpc.SnapshotReply, error) {
+			Logger: log.New(io.Discard), OtherPeers: func() []string { return nil },
+			SinceRevision: func() uint64 { return 0 }, KnownRevision: func() uint64 { return taken },
+			RequestSnapshot: func(_ context.Context, address, _ string, _ uint64) (*rpc.SnapshotReply, error) {
 				if address == "a" {
 					return nil, &supplier.BusyError{Peer: "a", Holders: []string{"b"}}
 				}
 				return &rpc.SnapshotReply{}, nil
 			},
-			Take: func(address, _ string, _ *rpc.SnapshotReply) { taken, from = 7, address },
+			Apply: func(address, _ string, _ *rpc.SnapshotReply) { taken, from = 7, address },
 		})
 		f.Want("a", 7)
 		time.Sleep(time.Second)
@@ -105,13 +105,13 @@
 			synctest.Test(t, func(t *testing.T) {
 				asked := 0
 				f := New(Config{
-					Logger: log.New(io.Discard), Others: func() []string { return nil },
-					Since: func() uint64 { return 0 }, Known: func() uint64 { return 0 },
-					Ask: func(context.Context, string, string, uint64) (*rpc.SnapshotReply, error) {
+					Logger: log.New(io.Discard), OtherPeers: func() []string { return nil },
+					SinceRevision: func() uint64 { return 0 }, KnownRevision: func() uint64 { return 0 },
+					RequestSnapshot: func(context.Context, string, string, uint64) (*rpc.SnapshotReply, error) {
 						asked++
 						return &rpc.SnapshotReply{}, answer
 					},
-					Take: func(string, string, *rpc.SnapshotReply) {},
+					Apply: func(string, string, *rpc.SnapshotReply) {},
 				})
 				f.Want("a", 1)
 				time.Sleep(2 * patience)
--- a/internal/peer/gatherer/gatherer.go
+++ b/internal/peer/gatherer/gatherer.go
@@ -32,7 +32,7 @@
 // Entry is a digest with the time at which it came.
 type Entry struct {
 	Digest *rpc.Digest
-	Heard  time.Time
+	ReceivedAt  time.Time
 }
 
 type key struct {
@@ -69,7 +69,7 @@
 	defer g.mu.Unlock()
 	out := make([]Entry, 0, len(g.entries))
 	for k, e := range g.entries {
-		if now.Sub(e.Heard) > memory {
+		if now.Sub(e.ReceivedAt) > memory {
 			delete(g.entries, k)
 			continue
 		}
--- a/internal/peer/exchanger/exchanger.go
+++ b/internal/peer/gossiper/exchanger.go
@@ -24,7 +24,7 @@
 //	x := exchanger.New(exchanger.Config{...})
 //	mux.Handle(rpc.PeerPathPrefix, signer.Verify(rpc.NewPeerServer(x)))
 //	err := x.Serve(ctx)
-package exchanger
+package gossiper
 
 import (
 	"context"
@@ -39,9 +39,9 @@
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/core/watchdog"
 	"brasschute/internal/engine/report"
-	"brasschute/internal/peer/holder"
-	"brasschute/internal/peer/ledger"
-	"brasschute/internal/peer/reporter"
+	"brasschute/internal/peer/retainer"
+	"brasschute/internal/peer/membertracker"
+	"brasschute/internal/peer/crashreporter"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/route/registry"
 	"brasschute/internal/serve/recorder"
@@ -69,12 +69,12 @@
 
 // Config names the exchanger's collaborators.
 type Config struct {
-	Ledger   *ledger.Ledger
+	Members   *membertracker.Tracker
 	Registry *registry.Registry
 	Keeper   *keeper.Keeper
-	Holder   *holder.Holder
+	Retainer   *retainer.Retainer
 	Recorder *recorder.Recorder
-	Reporter *reporter.Reporter
+	Reporter *crashreporter.Reporter
 	// Client signs its calls.
 	Client *http.Client
 	// Seeds are peers known from the settings, as IP:port.
@@ -87,8 +87,8 @@
 	taken  time.Time
 }
 
-// Exchanger is one daemon's side of the peer protocol.
-type Exchanger struct {
+// Gossiper is one daemon's side of the peer protocol.
+type Gossiper struct {
 	c      Config
 	urgent chan struct{}
 	round  int
@@ -97,41 +97,41 @@
 	loads map[identifier.Endpoint]load
 }
 
-var _ rpc.Peer = (*Exchanger)(nil)
+var _ rpc.Peer = (*Gossiper)(nil)
 
 // New returns an exchanger.
-func New(c Config) *Exchanger {
+func New(c Config) *Gossiper {
 	if c.Period == 0 {
 		c.Period = defaultPeriod
 	}
-	return &Exchanger{
+	return &Gossiper{
 		c: c, urgent: make(chan struct{}, 1),
 		loads: make(map[identifier.Endpoint]load),
 	}
 }
 
 // Peer returns a client for a peer's address.
-func (x *Exchanger) Peer(address string) rpc.Peer {
+func (x *Gossiper) Peer(address string) rpc.Peer {
 	return rpc.NewPeerProtobufClient("http://"+address, x.c.Client)
 }
 
-// Hurry makes the next exchanges happen at once.
-func (x *Exchanger) Hurry() {
+// Trigger makes the next exchanges happen at once.
+func (x *Gossiper) Trigger() {
 	select {
 	case x.urgent <- struct{}{}:
 	default:
 	}
 }
 
-// Observed takes in a load report of this daemon's own, to be shared.
-func (x *Exchanger) Observed(r *report.Report, taken time.Time) {
+// ShareReport takes in a load report of this daemon's own, to be shared.
+func (x *Gossiper) ShareReport(r *report.Report, taken time.Time) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.loads[r.Endpoint] = load{*r, taken}
 }
 
 // Serve swaps news until ctx ends.
-func (x *Exchanger) Serve(ctx context.Context) error {
+func (x *Gossiper) Serve(ctx context.Context) error {
 	tick := time.NewTicker(x.c.Period)
 	defer tick.Stop()
 	for {
@@ -139,7 +139,7 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-tick.C:
-			x.c.Ledger.Tick(time.Now())
+			x.c.Members.Tick(time.Now())
 			x.periodic(ctx)
 		case <-x.urgent:
 			x.spread(ctx)
@@ -147,9 +147,9 @@
 	}
 }
 
-func (x *Exchanger) periodic(ctx context.Context) {
+func (x *Gossiper) periodic(ctx context.Context) {
 	x.round++
-	members := x.c.Ledger.Members()
+	members := x.c.Members.Members()
 	if address := x.seed(members); address != "" {
 		x.swap(ctx, "", address)
 		return
@@ -160,12 +160,12 @@
 }
 
 // seed returns a seed address that no living member has.
-func (x *Exchanger) seed(members []*rpc.Member) string {
+func (x *Gossiper) seed(members []*rpc.Member) string {
 	known := make(map[string]bool)
 	for _, m := range members {
 		known[m.PeerAddress] = known[m.PeerAddress] || m.State != rpc.State_DEAD
 	}
-	own := x.c.Ledger.Self().PeerAddress
+	own := x.c.Members.Self().PeerAddress
 	var unknown []string
 	for _, address := range x.c.Seeds {
 		if !known[address] && address != own {
@@ -178,8 +178,8 @@
 	return unknown[rand.IntN(len(unknown))]
 }
 
-func (x *Exchanger) pick(members []*rpc.Member) *rpc.Member {
-	zone := x.c.Ledger.Self().AvailabilityZone
+func (x *Gossiper) pick(members []*rpc.Member) *rpc.Member {
+	zone := x.c.Members.Self().AvailabilityZone
 	var near, far, dead []*rpc.Member
 	for _, m := range members {
 		switch {
@@ -207,8 +207,8 @@
 }
 
 // spread passes urgent news to a few peers at once.
-func (x *Exchanger) spread(ctx context.Context) {
-	members := x.c.Ledger.Alive()
+func (x *Gossiper) spread(ctx context.Context) {
+	members := x.c.Members.Alive()
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	var group sync.WaitGroup
 	for _, m := range members[:min(len(members), fanOut)] {
@@ -217,18 +217,18 @@
 	group.Wait()
 }
 
-// Farewell passes the daemon's last news to a few peers.
-func (x *Exchanger) Farewell(ctx context.Context) { x.spread(ctx) }
+// AnnounceShutdown passes the daemon's last news to a few peers.
+func (x *Gossiper) AnnounceShutdown(ctx context.Context) { x.spread(ctx) }
 
-func (x *Exchanger) swap(ctx context.Context, host identifier.Host, address string) {
+func (x *Gossiper) swap(ctx context.Context, host identifier.Host, address string) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	out := x.c.Ledger.News()
+	out := x.c.Members.News()
 	x.complete(out)
 	in, err := x.Peer(address).Exchange(call, out)
 	if err != nil {
 		if ctx.Err() == nil && host != "" {
-			x.c.Ledger.MarkUnreachable(host, time.Now())
+			x.c.Members.MarkUnreachable(host, time.Now())
 		}
 		return
 	}
@@ -236,9 +236,9 @@
 }
 
 // complete adds loads and the configuration's number to a message.
-func (x *Exchanger) complete(n *rpc.News) {
+func (x *Gossiper) complete(n *rpc.News) {
 	n.ConfigurationNumber = uint64(x.c.Keeper.Number())
-	n.Suspects = x.c.Reporter.Told()
+	n.Suspects = x.c.Reporter.RPCSuspects()
 	now := time.Now()
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -266,27 +266,27 @@
 }
 
 // take uses a peer's message.
-func (x *Exchanger) take(ctx context.Context, in *rpc.News) {
+func (x *Gossiper) take(ctx context.Context, in *rpc.News) {
 	now := time.Now()
-	if fresh := x.c.Ledger.Merge(in, now); len(fresh) > 0 {
+	if fresh := x.c.Members.Merge(in, now); len(fresh) > 0 {
 		x.c.Registry.Refresh()
-		x.Hurry()
+		x.Trigger()
 	}
 	x.takeLoads(in, now)
-	x.c.Reporter.Heard(in.Suspects)
+	x.c.Reporter.MergeSuspects(in.Suspects)
 	if identifier.ConfigurationNumber(in.ConfigurationNumber) > x.c.Keeper.Number() && in.Self != nil {
 		x.fetch(ctx, in.Self.PeerAddress)
 	}
 }
 
-func (x *Exchanger) takeLoads(in *rpc.News, now time.Time) {
+func (x *Gossiper) takeLoads(in *rpc.News, now time.Time) {
 	for _, l := range in.Loads {
 		r := report.Report{
 			Endpoint: identifier.Endpoint(l.Endpoint), Running: int(l.Running), Queued: int(l.Queued),
 			QueuedTokens: identifier.Tokens(l.QueuedTokens), Model: l.Model,
 		}
 		taken := now.Add(-time.Duration(l.AgeMilli) * time.Millisecond)
-		x.c.Registry.Report(&r, taken)
+		x.c.Registry.ApplyReport(&r, taken)
 		x.mu.Lock()
 		if known, ok := x.loads[r.Endpoint]; !ok || taken.After(known.taken) {
 			x.loads[r.Endpoint] = load{r, taken}
@@ -295,7 +295,7 @@
 	}
 }
 
-func (x *Exchanger) fetch(ctx context.Context, address string) {
+func (x *Gossiper) fetch(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTime)
 	defer cancel()
 	patient := watchdog.New(watchdog.Config{Transport: x.c.Client.Transport, Silence: callTimeout})
@@ -306,7 +306,7 @@
 	x.offer(reply)
 }
 
-func (x *Exchanger) offer(reply *rpc.ConfigurationReply) {
+func (x *Gossiper) offer(reply *rpc.ConfigurationReply) {
 	var change keeper.Change
 	if json.Unmarshal([]byte(reply.ChangeJson), &change) != nil {
 		return
@@ -315,34 +315,34 @@
 }
 
 // Exchange answers a peer's news with this daemon's.
-func (x *Exchanger) Exchange(ctx context.Context, in *rpc.News) (*rpc.News, error) {
+func (x *Gossiper) Exchange(ctx context.Context, in *rpc.News) (*rpc.News, error) {
 	go x.take(context.WithoutCancel(ctx), in)
-	out := x.c.Ledger.News()
+	out := x.c.Members.News()
 	if in.Full {
-		out = x.c.Ledger.Full()
+		out = x.c.Members.Full()
 	}
 	x.complete(out)
 	return out, nil
 }
 
 // Configuration returns the configuration in force.
-func (x *Exchanger) Configuration(context.Context, *rpc.ConfigurationRequest) (*rpc.ConfigurationReply, error) {
+func (x *Gossiper) Configuration(context.Context, *rpc.ConfigurationRequest) (*rpc.ConfigurationReply, error) {
 	s := x.c.Keeper.Current()
 	if s == nil {
 		return nil, twirp.NotFoundError("no configuration in force")
 	}
-	return Reply(s), nil
+	return NewConfigurationReply(s), nil
 }
 
-// Reply writes a configuration as a message.
-func Reply(s *keeper.Snapshot) *rpc.ConfigurationReply {
+// NewConfigurationReply writes a configuration as a message.
+func NewConfigurationReply(s *keeper.Snapshot) *rpc.ConfigurationReply {
 	change, _ := json.Marshal(&s.Change)
 	return &rpc.ConfigurationReply{Number: uint64(s.Number()), Source: s.Source, ChangeJson: string(change)}
 }
 
 // Offer takes in a peer's configuration, if it is newer, and returns the
 // number then in force.
-func (x *Exchanger) Offer(_ context.Context, in *rpc.ConfigurationReply) (*rpc.ConfigurationRequest, error) {
+func (x *Gossiper) Offer(_ context.Context, in *rpc.ConfigurationReply) (*rpc.ConfigurationRequest, error) {
 	if in.Source != "" {
 		x.offer(in)
 	}
@@ -350,13 +350,13 @@
 }
 
 // Keep stores the state of a leaving peer's request.
-func (x *Exchanger) Keep(_ context.Context, e *rpc.Envelope) (*rpc.KeepReply, error) {
-	return &rpc.KeepReply{Kept: x.c.Holder.Keep(e)}, nil
+func (x *Gossiper) Keep(_ context.Context, e *rpc.Envelope) (*rpc.KeepReply, error) {
+	return &rpc.KeepReply{Kept: x.c.Retainer.Keep(e)}, nil
 }
 
 // Fetch returns a kept state.
-func (x *Exchanger) Fetch(_ context.Context, r *rpc.FetchRequest) (*rpc.Envelope, error) {
-	e, ok := x.c.Holder.Fetch(identifier.Organisation(r.Organisation), identifier.Request(r.Request))
+func (x *Gossiper) Fetch(_ context.Context, r *rpc.FetchRequest) (*rpc.Envelope, error) {
+	e, ok := x.c.Retainer.Fetch(identifier.Organisation(r.Organisation), identifier.Request(r.Request))
 	if !ok {
 		return nil, twirp.NotFoundError("not kept here")
 	}
@@ -364,7 +364,7 @@
 }
 
 // Explain returns the record of a request, if it is held here.
-func (x *Exchanger) Explain(_ context.Context, r *rpc.ExplainRequest) (*rpc.ExplainReply, error) {
+func (x *Gossiper) Explain(_ context.Context, r *rpc.ExplainRequest) (*rpc.ExplainReply, error) {
 	rec, ok := x.c.Recorder.Find(identifier.Request(r.Request))
 	if !ok {
 		return &rpc.ExplainReply{}, nil
--- a/internal/peer/ledger/ledger.go
+++ b/internal/peer/membertracker/ledger.go
@@ -2,7 +2,7 @@
 //
 // # How news travels
 //
-// Each daemon keeps a [Ledger] and, once a period, swaps [rpc.News] with one
+// Each daemon keeps a [Tracker] and, once a period, swaps [rpc.News] with one
 // peer. A message holds the sender, the few changes that it has passed on
 // least often, and a digest over all members. Only changes travel, so the
 // bytes of a quiet fleet do not grow with its size; a digest that still
@@ -27,7 +27,7 @@
 //	l.Merge(in, time.Now())
 //
 // The ledger performs no I/O. It reads no clock: times are handed in.
-package ledger
+package membertracker
 
 import (
 	"cmp"
@@ -83,8 +83,8 @@
 	sent        int
 }
 
-// Ledger holds the records. It is safe for concurrent use.
-type Ledger struct {
+// Tracker holds the records. It is safe for concurrent use.
+type Tracker struct {
 	mu      sync.Mutex
 	self    *rpc.Member
 	members map[identifier.Host]*member
@@ -93,18 +93,18 @@
 }
 
 // New returns a ledger that knows only its own daemon.
-func New(c Config) *Ledger {
-	return &Ledger{self: clone(c.Self), members: make(map[identifier.Host]*member), leaving: make(map[identifier.Host]*departure)}
+func New(c Config) *Tracker {
+	return &Tracker{self: clone(c.Self), members: make(map[identifier.Host]*member), leaving: make(map[identifier.Host]*departure)}
 }
 
 // Self returns the daemon's own record.
-func (l *Ledger) Self() *rpc.Member {
+func (l *Tracker) Self() *rpc.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.copySelf()
 }
 
-func (l *Ledger) copySelf() *rpc.Member { return clone(l.self) }
+func (l *Tracker) copySelf() *rpc.Member { return clone(l.self) }
 
 func clone(m *rpc.Member) *rpc.Member {
 	return &rpc.Member{
@@ -114,7 +114,7 @@
 }
 
 // Members returns the other members, dead ones included, ordered by host.
-func (l *Ledger) Members() []*rpc.Member {
+func (l *Tracker) Members() []*rpc.Member {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	out := make([]*rpc.Member, 0, len(l.members))
@@ -126,12 +126,12 @@
 }
 
 // Alive returns the members to talk to: alive or merely suspect.
-func (l *Ledger) Alive() []*rpc.Member {
+func (l *Tracker) Alive() []*rpc.Member {
 	return slices.DeleteFunc(l.Members(), func(m *rpc.Member) bool { return m.State == rpc.State_DEAD })
 }
 
 // Count counts the daemons that are not dead, this one included.
-func (l *Ledger) Count() int {
+func (l *Tracker) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 1
@@ -145,7 +145,7 @@
 
 // AliveInZone counts the daemons of a zone that are not dead, this one
 // included.
-func (l *Ledger) AliveInZone(zone identifier.AvailabilityZone) int {
+func (l *Tracker) AliveInZone(zone identifier.AvailabilityZone) int {
 	n := 0
 	for _, m := range l.Alive() {
 		if m.AvailabilityZone == string(zone) {
@@ -160,7 +160,7 @@
 
 // Leaving returns the deadline of a leaving host; ok is false if this
 // incarnation of the host is not known to leave.
-func (l *Ledger) Leaving(h identifier.Host, i identifier.Incarnation) (deadline time.Time, ok bool) {
+func (l *Tracker) Leaving(h identifier.Host, i identifier.Incarnation) (deadline time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	d := l.leaving[h]
@@ -172,13 +172,13 @@
 
 // MarkLeaving records that an incarnation of a host is leaving. It reports
 // whether that was news.
-func (l *Ledger) MarkLeaving(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool {
+func (l *Tracker) MarkLeaving(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.mark(h, i, deadline, now)
 }
 
-func (l *Ledger) mark(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool {
+func (l *Tracker) mark(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool {
 	d := l.leaving[h]
 	if d != nil && d.incarnation >= i {
 		return false
@@ -191,7 +191,7 @@
 }
 
 // MarkUnreachable suspects a member that did not answer.
-func (l *Ledger) MarkUnreachable(h identifier.Host, now time.Time) {
+func (l *Tracker) MarkUnreachable(h identifier.Host, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	m := l.members[h]
@@ -205,7 +205,7 @@
 
 // Tick turns suspects that did not refute into dead members and forgets what
 // is older than any use.
-func (l *Ledger) Tick(now time.Time) {
+func (l *Tracker) Tick(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for h, m := range l.members {
@@ -226,14 +226,14 @@
 }
 
 // Leave marks the daemon itself as gone, for its last messages.
-func (l *Ledger) Leave() {
+func (l *Tracker) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.self.State = rpc.State_DEAD
 }
 
 // News returns the message for one exchange.
-func (l *Ledger) News() *rpc.News {
+func (l *Tracker) News() *rpc.News {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	full := l.differs >= patience || len(l.members) == 0
@@ -243,7 +243,7 @@
 }
 
 // Full returns a message with everything known, as answer to a full one.
-func (l *Ledger) Full() *rpc.News {
+func (l *Tracker) Full() *rpc.News {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := &rpc.News{Self: l.copySelf(), Digest: l.digest(), Full: true}
@@ -251,7 +251,7 @@
 	return n
 }
 
-func (l *Ledger) fill(n *rpc.News, full bool) {
+func (l *Tracker) fill(n *rpc.News, full bool) {
 	limit := l.limit()
 	for _, m := range l.leastSent(full, limit) {
 		m.sent++
@@ -268,9 +268,9 @@
 
 // limit is how often a daemon passes a change on: often enough that it reaches
 // all with high probability; the digest catches the rest.
-func (l *Ledger) limit() int { return spare + bits.Len(uint(len(l.members)+1)) }
+func (l *Tracker) limit() int { return spare + bits.Len(uint(len(l.members)+1)) }
 
-func (l *Ledger) leastSent(full bool, limit int) []*member {
+func (l *Tracker) leastSent(full bool, limit int) []*member {
 	out := make([]*member, 0, len(l.members))
 	for _, m := range l.members {
 		if full || m.sent < limit {
@@ -286,7 +286,7 @@
 	return out[:min(len(out), newsMembers)]
 }
 
-func (l *Ledger) leavingLeastSent(full bool, limit int) []identifier.Host {
+func (l *Tracker) leavingLeastSent(full bool, limit int) []identifier.Host {
 	out := make([]identifier.Host, 0, len(l.leaving))
 	for h, d := range l.leaving {
 		if full || d.sent < limit {
@@ -304,7 +304,7 @@
 
 // digest sums over all members that are not dead, self included. A sum does
 // not depend on the order, and equal ledgers have equal sums.
-func (l *Ledger) digest() uint64 {
+func (l *Tracker) digest() uint64 {
 	sum := hash(l.self)
 	for _, m := range l.members {
 		if m.record.State != rpc.State_DEAD {
@@ -320,7 +320,7 @@
 
 // Merge takes in a peer's message and returns the leaving hosts that were not
 // known before.
-func (l *Ledger) Merge(n *rpc.News, now time.Time) []*rpc.Leaving {
+func (l *Tracker) Merge(n *rpc.News, now time.Time) []*rpc.Leaving {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if n.Self != nil {
@@ -346,13 +346,13 @@
 // settled stops a record from being passed on: it came in a full message, of
 // which every daemon has had one. Without this, each join would set all
 // records travelling again.
-func (l *Ledger) settled(in *rpc.Member) {
+func (l *Tracker) settled(in *rpc.Member) {
 	if m := l.members[identifier.Host(in.Host)]; m != nil && m.record.Incarnation == in.Incarnation {
 		m.sent = max(m.sent, l.limit())
 	}
 }
 
-func (l *Ledger) compare(n *rpc.News) {
+func (l *Tracker) compare(n *rpc.News) {
 	if n.Digest == l.digest() || n.Full {
 		l.differs = 0
 		return
@@ -363,7 +363,7 @@
 // replaceAddress retires other hosts at the sender's address: the platform
 // gave the address of a lost host to a new one, and calls meant for the old
 // host would reach the new.
-func (l *Ledger) replaceAddress(sender *rpc.Member) {
+func (l *Tracker) replaceAddress(sender *rpc.Member) {
 	for h, m := range l.members {
 		if m.record.PeerAddress == sender.PeerAddress && h != identifier.Host(sender.Host) {
 			m.record.State = rpc.State_DEAD
@@ -371,7 +371,7 @@
 	}
 }
 
-func (l *Ledger) merge(in *rpc.Member, now time.Time) {
+func (l *Tracker) merge(in *rpc.Member, now time.Time) {
 	if in.Host == "" || in.PeerAddress == "" {
 		return
 	}
@@ -407,7 +407,7 @@
 // refute answers news about the daemon itself. Without it, a daemon that was
 // paused past the suspicion time would stay dead in all other ledgers, and a
 // restarted one with a clock behind would be taken for its earlier life.
-func (l *Ledger) refute(in *rpc.Member) {
+func (l *Tracker) refute(in *rpc.Member) {
 	if l.self.State == rpc.State_DEAD || in.Incarnation < l.self.Incarnation {
 		return
 	}
--- a/internal/peer/ledger/ledger_test.go
+++ b/internal/peer/membertracker/ledger_test.go
@@ -1,4 +1,4 @@
-package ledger
+package membertracker
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 	return &rpc.Member{Host: host, AvailabilityZone: "z", PeerAddress: "127.0.0.1:" + host, Incarnation: incarnation, State: s}
 }
 
-func newLedger() *Ledger { return New(Config{Self: record("1", 1, rpc.State_ALIVE)}) }
+func newLedger() *Tracker { return New(Config{Self: record("1", 1, rpc.State_ALIVE)}) }
 
 func news(members ...*rpc.Member) *rpc.News { return &rpc.News{Members: members} }
 
--- a/internal/peer/mirror/mirror.go
+++ b/internal/peer/mirror/mirror.go
@@ -13,7 +13,7 @@
 //
 // A daemon that lists the store does not see what ended before, so it can't tell
 // others all changes after an older revision. One that passed on such a list as
-// changes left its peers with endpoints that had ended, for good. [Mirror.Listed]
+// changes left its peers with endpoints that had ended, for good. [Mirror.BeginList]
 // marks from where on the history is whole; [Mirror.Changes] hands out everything to
 // those who ask from before, and nothing while a list is in doubt.
 //
@@ -49,9 +49,9 @@
 	doubt map[string]uint64
 }
 
-// ErrDoubt means that the last list lacked objects of which it is not known yet
+// ErrListUncertain means that the last list lacked objects of which it is not known yet
 // whether they have ended.
-var ErrDoubt = errors.New("mirror: list in doubt")
+var ErrListUncertain = errors.New("mirror: list in doubt")
 
 // Apply takes in what one list, or one watch, brought and returns what was news of
 // it. It takes all or nothing: whoever asked for the changes in between would take
@@ -75,10 +75,10 @@
 	return news
 }
 
-// Hear takes in what a peer told, as Apply does. A mirror shows all that happened
+// ApplyFromPeer takes in what a peer told, as Apply does. A mirror shows all that happened
 // up to its revision, so an object that it does not have, and that is not newer, has
 // ended: a peer that lags, or that missed the end, must not bring it back.
-func (m *Mirror) Hear(objects []object.Object) (news []object.Object) {
+func (m *Mirror) ApplyFromPeer(objects []object.Object) (news []object.Object) {
 	revisions := make(map[string]uint64)
 	var newer []object.Object
 	for _, o := range objects {
@@ -146,9 +146,9 @@
 	return highest
 }
 
-// Listed notes that a list of a kind, as of a revision, is about to be applied. gap:
+// BeginList notes that a list of a kind, as of a revision, is about to be applied. gap:
 // changes before it have gone unseen. doubt: it lacks objects that may have ended.
-func (m *Mirror) Listed(kind string, revision uint64, gap, doubt bool) {
+func (m *Mirror) BeginList(kind string, revision uint64, gap, doubt bool) {
 	known := m.Revision(kind)
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -177,13 +177,13 @@
 	m.mu.Unlock()
 	switch {
 	case after == 0:
-		return m.Since(kind, 0), false, nil
+		return m.ChangedSince(kind, 0), false, nil
 	case doubt:
-		return nil, false, ErrDoubt
+		return nil, false, ErrListUncertain
 	case full:
-		return m.Since(kind, 0), true, nil
+		return m.ChangedSince(kind, 0), true, nil
 	}
-	return m.Since(kind, after), false, nil
+	return m.ChangedSince(kind, after), false, nil
 }
 
 // Replace takes in all objects of a kind as a peer knows them up to a revision. What
@@ -193,16 +193,16 @@
 	for i := range objects {
 		present[objects[i].Key] = true
 	}
-	for key, version := range m.Known(kind) {
+	for key, version := range m.KnownVersions(kind) {
 		if !present[key] && version <= revision {
 			objects = append(objects, object.Object{Key: key, Version: revision, Deleted: true})
 		}
 	}
 	// A peer that lags does not settle a doubt.
 	if m.highest(kind) <= revision || !m.doubts(kind) {
-		m.Listed(kind, revision, true, false)
+		m.BeginList(kind, revision, true, false)
 	}
-	return m.Hear(objects)
+	return m.ApplyFromPeer(objects)
 }
 
 func (m *Mirror) doubts(kind string) bool {
@@ -219,8 +219,8 @@
 	return highest
 }
 
-// Known returns the keys and versions of a kind's objects that have not ended.
-func (m *Mirror) Known(kind string) map[string]uint64 {
+// KnownVersions returns the keys and versions of a kind's objects that have not ended.
+func (m *Mirror) KnownVersions(kind string) map[string]uint64 {
 	out := make(map[string]uint64)
 	m.each(kind, func(o object.Object) {
 		if !o.Deleted {
@@ -230,9 +230,9 @@
 	return out
 }
 
-// Since returns the objects of a kind that changed or ended after a revision, in
+// ChangedSince returns the objects of a kind that changed or ended after a revision, in
 // the order of their versions.
-func (m *Mirror) Since(kind string, after uint64) []object.Object {
+func (m *Mirror) ChangedSince(kind string, after uint64) []object.Object {
 	var out []object.Object
 	m.each(kind, func(o object.Object) {
 		if o.Version > after {
--- a/internal/peer/mirror/mirror_test.go
+++ b/internal/peer/mirror/mirror_test.go
@@ -19,10 +19,10 @@
 	if m.one(object.Object{Key: "servers/a", Version: 4}) || m.one(object.Object{Key: "servers/a", Version: 5}) {
 		t.Error("an endpoint that has ended came back")
 	}
-	if news := m.Hear([]object.Object{{Key: "servers/b", Version: 5}}); len(news) > 0 {
+	if news := m.ApplyFromPeer([]object.Object{{Key: "servers/b", Version: 5}}); len(news) > 0 {
 		t.Error("a peer that lags brought back an endpoint that had ended before")
 	}
-	changes := m.Since("servers", 4)
+	changes := m.ChangedSince("servers", 4)
 	if len(changes) != 1 || !changes[0].Deleted || m.Revision("servers") != 5 || m.Revision("config") != 0 {
 		t.Errorf("changes %+v, revision %d", changes, m.Revision("servers"))
 	}
@@ -34,8 +34,8 @@
 	var m Mirror
 	m.Apply([]object.Object{{Key: "servers/a", Version: 3}})
 	m.Apply([]object.Object{{Key: "servers/a", Version: 5, Deleted: true}})
-	if !m.one(object.Object{Key: "servers/a", Version: 6}) || len(m.Known("servers")) != 1 || m.ends != 0 {
-		t.Errorf("known %v, %d ends", m.Known("servers"), m.ends)
+	if !m.one(object.Object{Key: "servers/a", Version: 6}) || len(m.KnownVersions("servers")) != 1 || m.ends != 0 {
+		t.Errorf("known %v, %d ends", m.KnownVersions("servers"), m.ends)
 	}
 }
 
@@ -50,16 +50,16 @@
 			o.Deleted = rapid.IntRange(0, 4).Draw(t, "end") == 0
 			ahead.one(o)
 			if rapid.Bool().Draw(t, "follow") {
-				for _, c := range ahead.Since("servers", behind.Revision("servers")) {
+				for _, c := range ahead.ChangedSince("servers", behind.Revision("servers")) {
 					behind.one(c)
 				}
 			}
 		}
-		for _, c := range ahead.Since("servers", behind.Revision("servers")) {
+		for _, c := range ahead.ChangedSince("servers", behind.Revision("servers")) {
 			behind.one(c)
 			behind.one(c)
 		}
-		if a, b := fmt.Sprint(ahead.Since("servers", 0)), fmt.Sprint(behind.Since("servers", 0)); a != b {
+		if a, b := fmt.Sprint(ahead.ChangedSince("servers", 0)), fmt.Sprint(behind.ChangedSince("servers", 0)); a != b {
 			t.Fatalf("ahead %s\nbehind %s", a, b)
 		}
 	})
@@ -70,7 +70,7 @@
 	for n := range 3 * maxEnds {
 		m.one(object.Object{Key: fmt.Sprintf("servers/%d", n), Version: uint64(n + 1), Deleted: true})
 	}
-	if got := len(m.Since("servers", 0)); got > maxEnds {
+	if got := len(m.ChangedSince("servers", 0)); got > maxEnds {
 		t.Errorf("%d ends remembered", got)
 	}
 }
@@ -87,7 +87,7 @@
 		if doubt {
 			newcomer.Apply([]object.Object{at("servers/ends", 4)})
 		}
-		newcomer.Listed("servers", 7, true, doubt)
+		newcomer.BeginList("servers", 7, true, doubt)
 		newcomer.Apply([]object.Object{at("servers/a", 3), at("servers/b", 7)})
 		if doubt {
 			if got := newcomer.Revision("servers"); got != 4 {
@@ -96,7 +96,7 @@
 			if _, _, err := newcomer.Changes("servers", lags.Revision("servers")); err == nil {
 				t.Error("a list in doubt was passed on")
 			}
-			newcomer.Listed("servers", 8, false, false)
+			newcomer.BeginList("servers", 8, false, false)
 			newcomer.Apply([]object.Object{{Key: "servers/ends", Version: 8, Deleted: true}})
 		}
 		changes, full, err := newcomer.Changes("servers", lags.Revision("servers"))
@@ -104,7 +104,7 @@
 			t.Fatalf("full %v, error %v", full, err)
 		}
 		lags.Replace("servers", changes, newcomer.Revision("servers"))
-		if known := lags.Known("servers"); len(known) != 2 || known["servers/b"] != 7 {
+		if known := lags.KnownVersions("servers"); len(known) != 2 || known["servers/b"] != 7 {
 			t.Errorf("known in the end: %v", known)
 		}
 	}
--- a/internal/peer/holder/holder.go
+++ b/internal/peer/retainer/holder.go
@@ -20,7 +20,7 @@
 //	h := holder.New(holder.Config{})
 //	kept := h.Keep(envelope)
 //	envelope, ok := h.Fetch(organisation, request)
-package holder
+package retainer
 
 import (
 	"sync"
@@ -56,8 +56,8 @@
 	request      identifier.Request
 }
 
-// Holder keeps envelopes. It is safe for concurrent use.
-type Holder struct {
+// Retainer keeps envelopes. It is safe for concurrent use.
+type Retainer struct {
 	c Config
 
 	mu      sync.Mutex
@@ -66,19 +66,19 @@
 }
 
 // New returns an empty holder.
-func New(c Config) *Holder {
+func New(c Config) *Retainer {
 	if c.Lifetime == 0 {
 		c.Lifetime = defaultLifetime
 	}
 	if c.Bytes == 0 {
 		c.Bytes = defaultBytes
 	}
-	return &Holder{c: c, entries: make(map[key]entry)}
+	return &Retainer{c: c, entries: make(map[key]entry)}
 }
 
 // Keep stores an envelope, replacing one of the same request that has fewer
 // tokens. It reports false when there is no room.
-func (h *Holder) Keep(e *rpc.Envelope) bool {
+func (h *Retainer) Keep(e *rpc.Envelope) bool {
 	k := key{identifier.Organisation(e.Organisation), identifier.Request(e.Request)}
 	n := proto.Size(e)
 	h.mu.Lock()
@@ -98,7 +98,7 @@
 
 // Fetch returns an envelope, which stays kept: the daemon that fetched it may
 // die before its caller has everything.
-func (h *Holder) Fetch(o identifier.Organisation, r identifier.Request) (*rpc.Envelope, bool) {
+func (h *Retainer) Fetch(o identifier.Organisation, r identifier.Request) (*rpc.Envelope, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.expire(time.Now())
@@ -107,14 +107,14 @@
 }
 
 // Drop forgets a request that has been answered whole.
-func (h *Holder) Drop(o identifier.Organisation, r identifier.Request) {
+func (h *Retainer) Drop(o identifier.Organisation, r identifier.Request) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.bytes -= h.entries[key{o, r}].bytes
 	delete(h.entries, key{o, r})
 }
 
-func (h *Holder) expire(now time.Time) {
+func (h *Retainer) expire(now time.Time) {
 	for k := range h.entries {
 		if e := h.entries[k]; now.After(e.expires) {
 			h.bytes -= e.bytes
--- a/internal/peer/roster/message.go
+++ b/internal/peer/roster/message.go
@@ -30,9 +30,9 @@
 	at       time.Time
 }
 
-// Message names the daemons of some zones that this one has heard lately, or of all if none
+// ZoneRosters names the daemons of some zones that this one has heard lately, or of all if none
 // are named. A relay vouches for them; others name all that they know.
-func (r *Roster) Message(zones []identifier.AvailabilityZone, relaying bool, own *rpc.Member, now time.Time) []*rpc.ZoneRoster {
+func (r *Roster) ZoneRosters(zones []identifier.AvailabilityZone, relaying bool, own *rpc.Member, now time.Time) []*rpc.ZoneRoster {
 	r.mu.Lock()
 	m := r.message
 	r.mu.Unlock()
@@ -61,7 +61,7 @@
 		switch {
 		case d.Host == "":
 			continue
-		case relaying && d.Zone == r.c.Zone && now.Sub(d.Answered) >= Living:
+		case relaying && d.Zone == r.c.Zone && now.Sub(d.AnsweredAt) >= LivenessTimeout:
 			continue
 		case relaying && !d.lives(now):
 			continue
@@ -161,7 +161,7 @@
 		}
 		for _, address := range list.addresses {
 			if d := r.daemons[address]; d != nil && (!at.IsZero() || d.voucher == by) {
-				d.Vouched, d.voucher = at, by
+				d.VouchedAt, d.voucher = at, by
 			}
 		}
 	}
@@ -176,7 +176,7 @@
 			continue
 		}
 		list.addresses = append(list.addresses, d.Address)
-		if now.Sub(d.Answered) > answerBy {
+		if now.Sub(d.AnsweredAt) > answerBy {
 			// It has not told by itself a moment ago.
 			d.Host, d.Zone = identifier.Host(m.GetHost()), identifier.AvailabilityZone(zone.GetAvailabilityZone())
 			d.Observing, d.Stopping, d.Relaying = m.GetObserving(), m.GetStopping(), m.GetRelaying()
@@ -186,8 +186,8 @@
 	return list
 }
 
-// Known are the hashes of what a daemon told.
-func (r *Roster) Known(address string) []uint64 {
+// KnownHashes are the hashes of what a daemon told.
+func (r *Roster) KnownHashes(address string) []uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Sorted(maps.Keys(r.told[address]))
--- a/internal/peer/roster/relays.go
+++ b/internal/peer/roster/relays.go
@@ -59,8 +59,8 @@
 	return n
 }
 
-// Relaying tells whether this daemon relays, by its name.
-func (r *Roster) Relaying(now time.Time) bool {
+// IsRelay tells whether this daemon relays, by its name.
+func (r *Roster) IsRelay(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.relaying(now)
@@ -71,10 +71,10 @@
 	return r.place(now, func(*Daemon) bool { return true }) < r.relays()
 }
 
-// Following tells whether this daemon follows the store for others: the first relays of
+// FollowsStore tells whether this daemon follows the store for others: the first relays of
 // each zone do, [leastFollowers] in the fleet. One that does not reach the store is passed
 // over; where hardly any does, all relays try.
-func (r *Roster) Following(now time.Time) bool {
+func (r *Roster) FollowsStore(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.relaying(now) {
@@ -93,10 +93,10 @@
 	return observers < leastObservers
 }
 
-// Displaced returns the daemons that would relay in place of this one if they lived. They
+// DisplacedRelays returns the daemons that would relay in place of this one if they lived. They
 // may have been cut off and relay for others that this daemon does not hear: unless somebody
 // calls them, the fleet stays in two parts.
-func (r *Roster) Displaced(now time.Time) []Daemon {
+func (r *Roster) DisplacedRelays(now time.Time) []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	own := Rank(r.c.Host)
--- a/internal/peer/roster/roster.go
+++ b/internal/peer/roster/roster.go
@@ -47,9 +47,9 @@
 	// reach it, or all relays try.
 	leastFollowers = 4
 	leastObservers = 2
-	// Living is how long a daemon counts as living after it was heard, directly or by a
+	// LivenessTimeout is how long a daemon counts as living after it was heard, directly or by a
 	// relay.
-	Living = 3 * time.Second
+	LivenessTimeout = 3 * time.Second
 	// failing is how long a daemon that did not answer is passed over as a relay, if it
 	// has not been heard for as long as answered calls are apart.
 	failing  = 3 * time.Second
@@ -79,35 +79,35 @@
 	// Observing: it follows the store and reaches it. Stopping: it takes no new work.
 	// Relaying: it says that it relays.
 	Observing, Stopping, Relaying bool
-	// Answered is when it last answered or called, Vouched when a relay last said that it
-	// lives, Added when it became known.
-	Answered, Vouched, Added time.Time
+	// AnsweredAt is when it last answered or called, VouchedAt when a relay last said that it
+	// lives, AddedAt when it became known.
+	AnsweredAt, VouchedAt, AddedAt time.Time
 	// voucher is the address of the relay that said so.
 	voucher string
 	// Lost: it did not answer the last call, made at Failed.
 	Lost   bool
-	Failed time.Time
+	FailedAt time.Time
 }
 
-// Heard is when it was last heard of.
-func (d *Daemon) Heard() time.Time {
-	if d.Vouched.After(d.Answered) {
-		return d.Vouched
+// LastHeard is when it was last heard of.
+func (d *Daemon) LastHeard() time.Time {
+	if d.VouchedAt.After(d.AnsweredAt) {
+		return d.VouchedAt
 	}
-	return d.Answered
+	return d.AnsweredAt
 }
 
 // lives tells whether it was heard of lately.
 func (d *Daemon) lives(now time.Time) bool {
-	return d.Host != "" && now.Sub(d.Heard()) < Living
+	return d.Host != "" && now.Sub(d.LastHeard()) < LivenessTimeout
 }
 
 // usable tells whether this daemon may pick it as a relay. One that was named lately and
 // has not been called yet may live: when a whole fleet starts, its relays are found by the
 // names that the store kept.
 func (d *Daemon) usable(now time.Time) bool {
-	fresh := d.Host != "" && d.Heard().IsZero() && now.Sub(d.Added) < Living
-	failed := now.Sub(d.Failed) < failing && now.Sub(d.Answered) > answerBy
+	fresh := d.Host != "" && d.LastHeard().IsZero() && now.Sub(d.AddedAt) < LivenessTimeout
+	failed := now.Sub(d.FailedAt) < failing && now.Sub(d.AnsweredAt) > answerBy
 	return (d.lives(now) || fresh) && !d.Stopping && !failed
 }
 
@@ -153,15 +153,15 @@
 func (r *Roster) add(address string) *Daemon {
 	d := r.daemons[address]
 	if d == nil && address != "" && address != r.c.Address && len(r.daemons) < mostDaemons {
-		d = &Daemon{Address: address, Added: time.Now()}
+		d = &Daemon{Address: address, AddedAt: time.Now()}
 		r.daemons[address] = d
 	}
 	return d
 }
 
-// Answered takes in a digest that came from, or leads to, an address. It reports whether
+// RecordAnswer takes in a digest that came from, or leads to, an address. It reports whether
 // the daemon had been lost.
-func (r *Roster) Answered(digest *rpc.Digest, address string, now time.Time) (regained bool) {
+func (r *Roster) RecordAnswer(digest *rpc.Digest, address string, now time.Time) (regained bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d := r.add(address)
@@ -169,7 +169,7 @@
 		return false
 	}
 	regained, d.Lost = d.Lost, false
-	d.Host, d.Zone, d.Answered = identifier.Host(digest.GetHost()), identifier.AvailabilityZone(digest.GetAvailabilityZone()), now
+	d.Host, d.Zone, d.AnsweredAt = identifier.Host(digest.GetHost()), identifier.AvailabilityZone(digest.GetAvailabilityZone()), now
 	d.Observing, d.Stopping, d.Relaying = digest.GetObserving(), digest.GetStopping(), digest.GetRelaying()
 	r.zones[d.Zone] = true
 	for _, other := range digest.GetPeers() {
@@ -179,16 +179,16 @@
 	return regained
 }
 
-// Failed notes that a daemon did not answer, and returns it if it had before.
-func (r *Roster) Failed(address string, now time.Time) (lost Daemon, news bool) {
+// RecordFailure notes that a daemon did not answer, and returns it if it had before.
+func (r *Roster) RecordFailure(address string, now time.Time) (lost Daemon, news bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d := r.daemons[address]
 	if d == nil {
 		return Daemon{}, false
 	}
-	d.Failed = now
-	if d.Lost || d.Answered.IsZero() {
+	d.FailedAt = now
+	if d.Lost || d.AnsweredAt.IsZero() {
 		return Daemon{}, false
 	}
 	d.Lost = true
@@ -202,9 +202,9 @@
 	defer r.mu.Unlock()
 	out := make([]Daemon, 0, len(r.daemons))
 	for address, d := range r.daemons {
-		last := d.Heard()
+		last := d.LastHeard()
 		if last.IsZero() {
-			last = d.Added
+			last = d.AddedAt
 		}
 		if now.Sub(last) > forget {
 			delete(r.daemons, address)
@@ -217,8 +217,8 @@
 	return out
 }
 
-// Lives returns the daemons that live.
-func (r *Roster) Lives(now time.Time) []Daemon {
+// LiveDaemons returns the daemons that live.
+func (r *Roster) LiveDaemons(now time.Time) []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]Daemon, 0, len(r.daemons))
--- a/internal/peer/roster/roster_test.go
+++ b/internal/peer/roster/roster_test.go
@@ -15,7 +15,7 @@
 
 // hear makes a roster hear a daemon of a zone.
 func hear(r *Roster, host identifier.Host, zone string, relaying bool) {
-	r.Answered(&rpc.Digest{Host: string(host), AvailabilityZone: zone, Relaying: relaying, Observing: relaying}, address(host), time.Now())
+	r.RecordAnswer(&rpc.Digest{Host: string(host), AvailabilityZone: zone, Relaying: relaying, Observing: relaying}, address(host), time.Now())
 }
 
 // ranked are names, first by rank.
@@ -63,23 +63,23 @@
 			}
 		}
 		all()
-		if got := hosts(r.Relays("a", time.Now())); !slices.Equal(got, names[:2]) || r.Relaying(time.Now()) {
-			t.Fatalf("relays %v, this one relays %v", got, r.Relaying(time.Now()))
+		if got := hosts(r.Relays("a", time.Now())); !slices.Equal(got, names[:2]) || r.IsRelay(time.Now()) {
+			t.Fatalf("relays %v, this one relays %v", got, r.IsRelay(time.Now()))
 		}
 		time.Sleep(2 * time.Second)
 		hear(r, names[1], "a", true)
-		r.Failed(address(names[0]), time.Now())
-		if got := hosts(r.Relays("a", time.Now())); !slices.Equal(got, names[1:2]) || !r.Relaying(time.Now()) {
-			t.Errorf("without the first: relays %v, this one relays %v", got, r.Relaying(time.Now()))
+		r.RecordFailure(address(names[0]), time.Now())
+		if got := hosts(r.Relays("a", time.Now())); !slices.Equal(got, names[1:2]) || !r.IsRelay(time.Now()) {
+			t.Errorf("without the first: relays %v, this one relays %v", got, r.IsRelay(time.Now()))
 		}
-		time.Sleep(Living)
+		time.Sleep(LivenessTimeout)
 		hear(r, names[1], "a", true)
-		if got := hosts(r.Displaced(time.Now())); !slices.Equal(got, names[:1]) {
+		if got := hosts(r.DisplacedRelays(time.Now())); !slices.Equal(got, names[:1]) {
 			t.Errorf("displaced are %v", got)
 		}
 		all()
-		if got := hosts(r.Relays("a", time.Now())); !slices.Equal(got, names[:2]) || r.Relaying(time.Now()) {
-			t.Errorf("with the first again: relays %v, this one relays %v", got, r.Relaying(time.Now()))
+		if got := hosts(r.Relays("a", time.Now())); !slices.Equal(got, names[:2]) || r.IsRelay(time.Now()) {
+			t.Errorf("with the first again: relays %v, this one relays %v", got, r.IsRelay(time.Now()))
 		}
 	})
 }
@@ -91,18 +91,18 @@
 		names := ranked(4)
 		r := inFourZones(names[1])
 		hear(r, names[0], "a", true)
-		if r.Following(time.Now()) {
+		if r.FollowsStore(time.Now()) {
 			t.Error("follows beside the first")
 		}
-		r.Answered(&rpc.Digest{Host: string(names[0]), AvailabilityZone: "a", Relaying: true}, address(names[0]), time.Now())
-		if !r.Following(time.Now()) {
+		r.RecordAnswer(&rpc.Digest{Host: string(names[0]), AvailabilityZone: "a", Relaying: true}, address(names[0]), time.Now())
+		if !r.FollowsStore(time.Now()) {
 			t.Error("does not follow though the first does not reach the store")
 		}
 		late := inFourZones(names[3])
 		for _, i := range []int{0, 1} {
-			late.Answered(&rpc.Digest{Host: string(names[i]), AvailabilityZone: "a", Relaying: true}, address(names[i]), time.Now())
+			late.RecordAnswer(&rpc.Digest{Host: string(names[i]), AvailabilityZone: "a", Relaying: true}, address(names[i]), time.Now())
 		}
-		if late.Following(time.Now()) {
+		if late.FollowsStore(time.Now()) {
 			t.Error("one that does not relay follows")
 		}
 	})
@@ -120,15 +120,15 @@
 		r := inFourZones("front-9")
 		tell := func(relaying, whole bool) {
 			d := &rpc.Digest{Host: string(names[0]), AvailabilityZone: "b", Relaying: relaying}
-			for _, zone := range teller.Message(nil, relaying, own, time.Now()) {
+			for _, zone := range teller.ZoneRosters(nil, relaying, own, time.Now()) {
 				d.RosterHashes = append(d.RosterHashes, zone.GetHash())
 				if whole {
 					d.Roster = append(d.Roster, zone)
 				}
 			}
-			r.Answered(d, address(names[0]), time.Now())
+			r.RecordAnswer(d, address(names[0]), time.Now())
 		}
-		lives := func() bool { return slices.Contains(hosts(r.Lives(time.Now())), names[1]) }
+		lives := func() bool { return slices.Contains(hosts(r.LiveDaemons(time.Now())), names[1]) }
 		tell(false, true)
 		if lives() {
 			t.Error("lives by hearsay")
@@ -162,21 +162,21 @@
 		relays := []*Roster{inFourZones(names[0]), inFourZones(names[1])}
 		tell := func(from, to int) {
 			own := &rpc.Member{Host: string(names[from]), PeerAddress: address(names[from]), Relaying: true}
-			d := &rpc.Digest{Host: string(names[from]), AvailabilityZone: "a", Relaying: true, Roster: relays[from].Message(nil, true, own, time.Now())}
+			d := &rpc.Digest{Host: string(names[from]), AvailabilityZone: "a", Relaying: true, Roster: relays[from].ZoneRosters(nil, true, own, time.Now())}
 			for _, zone := range d.Roster {
 				d.RosterHashes = append(d.RosterHashes, zone.GetHash())
 			}
-			relays[to].Answered(d, address(names[from]), time.Now())
+			relays[to].RecordAnswer(d, address(names[from]), time.Now())
 		}
 		for range 12 {
 			tell(0, 1)
 			tell(1, 0)
-			time.Sleep(Living / 6)
+			time.Sleep(LivenessTimeout / 6)
 		}
 		for i, r := range relays {
-			for _, d := range r.Lives(time.Now()) {
+			for _, d := range r.LiveDaemons(time.Now()) {
 				if d.Zone != "a" {
-					t.Errorf("%s takes %s to live, which nobody has heard for %v", names[i], d.Host, time.Since(d.Answered))
+					t.Errorf("%s takes %s to live, which nobody has heard for %v", names[i], d.Host, time.Since(d.AnsweredAt))
 				}
 			}
 		}
@@ -201,18 +201,18 @@
 					{Host: "far", PeerAddress: address("far"), Observing: observing},
 				}}}
 			}
-			r.Answered(d, address(names[0]), time.Now())
+			r.RecordAnswer(d, address(names[0]), time.Now())
 		}
 		const before, after = 1, 2
 		tell(before, false, true)
 		tell(after, true, true)
 		tell(before, false, false)
-		if !slices.Contains(hosts(r.Lives(time.Now())), "far") {
+		if !slices.Contains(hosts(r.LiveDaemons(time.Now())), "far") {
 			t.Error("a daemon that a relay still names does not live")
 		}
-		time.Sleep(Living)
+		time.Sleep(LivenessTimeout)
 		tell(before, false, false)
-		if slices.Contains(hosts(r.Lives(time.Now())), "far") {
+		if slices.Contains(hosts(r.LiveDaemons(time.Now())), "far") {
 			t.Error("a daemon lives on that nobody has named for long")
 		}
 	})
@@ -234,9 +234,9 @@
 				d.RosterHashes = append(d.RosterHashes, 1)
 				d.Roster = append(d.Roster, &rpc.ZoneRoster{AvailabilityZone: "b", Hash: 1, Daemons: []*rpc.Member{{Host: name, PeerAddress: name + ":82"}}})
 			}
-			r.Answered(d, address(relay), time.Now())
+			r.RecordAnswer(d, address(relay), time.Now())
 		}
-		lives := func() bool { return slices.Contains(hosts(r.Lives(time.Now())), "far") }
+		lives := func() bool { return slices.Contains(hosts(r.LiveDaemons(time.Now())), "far") }
 		tell(names[1], "far")
 		tell(names[0], "far")
 		tell(names[1])
--- a/internal/peer/supplier/supplier.go
+++ b/internal/peer/supplier/supplier.go
@@ -3,7 +3,7 @@
 // # Both sides
 //
 // [Supplier.Snapshot] answers a peer with what it lacks, packed if that is large;
-// [Supplier.Ask] asks a peer. A daemon whose link is taken says that it is busy, and
+// [Supplier.RequestSnapshot] asks a peer. A daemon whose link is taken says that it is busy, and
 // names peers that it has served: they have what is asked for ([BusyError]).
 //
 // A peer of the version before does not know packed answers: it gets plain ones, and an
@@ -229,9 +229,9 @@
 	return slices.DeleteFunc(slices.Clone(list), func(a string) bool { return a == address })
 }
 
-// Ask returns what the peer at an address knows of a kind, or of all kinds, after a
+// RequestSnapshot returns what the peer at an address knows of a kind, or of all kinds, after a
 // revision. The error is a *BusyError if it serves others first.
-func (s *Supplier) Ask(ctx context.Context, address, kind string, after uint64) (*rpc.SnapshotReply, error) {
+func (s *Supplier) RequestSnapshot(ctx context.Context, address, kind string, after uint64) (*rpc.SnapshotReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, askTime)
 	defer cancel()
 	reply, err := rpc.NewFleetProtobufClient("http://"+address, s.c.Client).Snapshot(ctx, &rpc.SnapshotRequest{
--- a/internal/peer/supplier/supplier_test.go
+++ b/internal/peer/supplier/supplier_test.go
@@ -70,7 +70,7 @@
 		{"servers", 4, nil},
 		{"", 0, []object.Object{large, small}},
 	} {
-		reply, err := asker("").Ask(t.Context(), address, c.kind, c.after)
+		reply, err := asker("").RequestSnapshot(t.Context(), address, c.kind, c.after)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -106,13 +106,13 @@
 	open := gate(true)
 	address := peer(t, &open, large)
 	for _, one := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
-		if _, err := asker(one).Ask(t.Context(), address, "config", 0); err != nil {
+		if _, err := asker(one).RequestSnapshot(t.Context(), address, "config", 0); err != nil {
 			t.Fatal(err)
 		}
 	}
 	open = false
 	var busy *BusyError
-	if _, err := asker("10.0.0.2:1").Ask(t.Context(), address, "config", 0); !errors.As(err, &busy) || !slices.Equal(busy.Holders, []string{"10.0.0.1:1"}) {
+	if _, err := asker("10.0.0.2:1").RequestSnapshot(t.Context(), address, "config", 0); !errors.As(err, &busy) || !slices.Equal(busy.Holders, []string{"10.0.0.1:1"}) {
 		t.Errorf("error %v, the other peer is expected in it: %+v", err, busy)
 	}
 }
@@ -133,7 +133,7 @@
 	open := gate(true)
 	m := new(mirror.Mirror)
 	m.Apply([]object.Object{large})
-	m.Listed("config", 12, true, true)
+	m.BeginList("config", 12, true, true)
 	s := New(Config{Objects: m, Throttler: &open, Logger: log.New(io.Discard)})
 	if _, err := s.Snapshot(t.Context(), &rpc.SnapshotRequest{Kind: "config", After: 3, Packed: true}); err == nil {
 		t.Error("a list in doubt was passed on")
@@ -149,7 +149,7 @@
 	m.Apply([]object.Object{large})
 	address := peerOf(t, &open, m)
 	ask := func(from string) error {
-		_, err := asker(from).Ask(t.Context(), address, "config", 0)
+		_, err := asker(from).RequestSnapshot(t.Context(), address, "config", 0)
 		return err
 	}
 	if err := ask("10.0.0.1:1"); err != nil {
--- a/internal/peer/swapper/rounds.go
+++ b/internal/peer/syncer/rounds.go
@@ -1,4 +1,4 @@
-package swapper
+package syncer
 
 import (
 	"math/rand/v2"
@@ -38,9 +38,9 @@
 )
 
 // due returns the addresses to call now and the time until the next look.
-func (s *Swapper) due() ([]string, time.Duration) {
+func (s *Syncer) due() ([]string, time.Duration) {
 	now := time.Now()
-	if s.c.Large() {
+	if s.c.LargeFleet() {
 		return s.reserve(s.relayed(now)), tick
 	}
 	s.mu.Lock()
@@ -68,7 +68,7 @@
 const mostCalls = 4096
 
 // reserve leaves out the peers to which a call is under way.
-func (s *Swapper) reserve(addresses []string) []string {
+func (s *Syncer) reserve(addresses []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, c := range s.calls {
@@ -90,10 +90,10 @@
 }
 
 // mine tells whether it is for this daemon, and time, to call a peer of a small fleet.
-func (s *Swapper) mine(d *roster.Daemon, now time.Time, round int) bool {
-	last := d.Answered
+func (s *Syncer) mine(d *roster.Daemon, now time.Time, round int) bool {
+	last := d.AnsweredAt
 	if last.IsZero() {
-		last = d.Added
+		last = d.AddedAt
 	}
 	silent := now.Sub(last)
 	if silent > slowAfter+period {
@@ -105,15 +105,15 @@
 }
 
 // relayed returns whom to call now in a large fleet.
-func (s *Swapper) relayed(now time.Time) []string {
+func (s *Syncer) relayed(now time.Time) []string {
 	p := planner{s: s, now: now}
 	relaying := s.c.Relaying()
 	heard := false
 	for i, d := range s.c.Roster.Relays(s.c.Zone, now) {
 		// One that says that it does not relay has found others that go before it.
-		heard = heard || d.Relaying && now.Sub(d.Answered) < standbyPeriod+relayPeriod
+		heard = heard || d.Relaying && now.Sub(d.AnsweredAt) < standbyPeriod+relayPeriod
 		switch {
-		case relaying && d.Relaying && d.Host < s.c.Host && now.Sub(d.Answered) < missing:
+		case relaying && d.Relaying && d.Host < s.c.Host && now.Sub(d.AnsweredAt) < missing:
 		case i == 0:
 			p.add(d.Address, relayPeriod)
 		default:
@@ -122,7 +122,7 @@
 	}
 	if relaying {
 		s.acrossZones(&p)
-		for _, d := range s.c.Roster.Displaced(now) {
+		for _, d := range s.c.Roster.DisplacedRelays(now) {
 			p.add(d.Address, standbyPeriod)
 		}
 	}
@@ -132,13 +132,13 @@
 
 // acrossZones adds the relays of the other zones. Of a pair the one with the lower name
 // calls, unless the other has not been heard.
-func (s *Swapper) acrossZones(p *planner) {
+func (s *Syncer) acrossZones(p *planner) {
 	for _, zone := range s.c.Roster.Zones() {
 		for _, d := range s.c.Roster.Relays(zone, p.now) {
-			silent := p.now.Sub(d.Answered) >= missing
+			silent := p.now.Sub(d.AnsweredAt) >= missing
 			switch {
 			case d.Host < s.c.Host && !silent:
-			case silent && !d.Answered.IsZero():
+			case silent && !d.AnsweredAt.IsZero():
 				p.add(d.Address, standbyPeriod)
 			default:
 				p.add(d.Address, relayPeriod)
@@ -150,7 +150,7 @@
 // strange adds some daemons that were never heard, by a daemon that hears no relay some of
 // those that do not seem to live, of its zone if there are any: after a loss of all power, or
 // a cut, the way back into the fleet.
-func (s *Swapper) strange(p *planner, heard bool) {
+func (s *Syncer) strange(p *planner, heard bool) {
 	n, pause := 1, strangerPause
 	if !heard {
 		n, pause = strangers, eagerPause
@@ -160,7 +160,7 @@
 	}
 	var list, near []string
 	for _, d := range s.c.Roster.All(p.now) {
-		silent := !heard && p.now.Sub(d.Heard()) >= roster.Living
+		silent := !heard && p.now.Sub(d.LastHeard()) >= roster.LivenessTimeout
 		switch {
 		case silent && d.Zone == s.c.Zone:
 			near = append(near, d.Address)
@@ -182,7 +182,7 @@
 
 // planner collects the calls that are due.
 type planner struct {
-	s   *Swapper
+	s   *Syncer
 	now time.Time
 	out []string
 }
--- a/internal/peer/swapper/swapper.go
+++ b/internal/peer/syncer/swapper.go
@@ -17,7 +17,7 @@
 // # News
 //
 // A change of the configuration or of an endpoint does not wait for the next round:
-// [Swapper.Hurry] sends a note of a few dozen bytes to all peers of a small fleet, or to
+// [Syncer.TriggerNotes] sends a note of a few dozen bytes to all peers of a small fleet, or to
 // the relays and the daemons of the own zone, and those that lag ask for the difference.
 //
 // # Usage
@@ -26,7 +26,7 @@
 //	go s.Serve(ctx)
 //
 // Swap and Notice answer peers' calls; they are part of rpc.Fleet.
-package swapper
+package syncer
 
 import (
 	"context"
@@ -69,10 +69,10 @@
 	// Relaying and HoldsDuties as it told them last; RosterKnown are the hashes of the
 	// rosters that it has from this daemon.
 	Relaying, HoldsDuties bool
-	RosterKnown           []uint64
-	// Pairs: it swaps with all others, as daemons of a small fleet and of the version
+	KnownRosterHashes           []uint64
+	// FullMesh: it swaps with all others, as daemons of a small fleet and of the version
 	// before do, and knows no sums.
-	Pairs bool
+	FullMesh bool
 }
 
 // Config names the swapper's collaborators.
@@ -84,22 +84,22 @@
 	// Roster knows the daemons, Relaying tells whether this one relays.
 	Roster   *roster.Roster
 	Relaying func() bool
-	// Large tells that the fleet is too large for all pairs to swap.
-	Large func() bool
-	// Self builds this daemon's digest for a receiver.
-	Self     func(to Receiver) *rpc.Digest
+	// LargeFleet tells that the fleet is too large for all pairs to swap.
+	LargeFleet func() bool
+	// BuildDigest builds this daemon's digest for a receiver.
+	BuildDigest     func(to Receiver) *rpc.Digest
 	Gatherer *gatherer.Gatherer
-	// Heard is told of each new digest of another daemon, Noted of each note.
-	Heard func(*rpc.Digest)
-	Noted func(*rpc.Note)
-	// Note builds this daemon's note.
-	Note   func() *rpc.Note
+	// OnDigest is told of each new digest of another daemon, Noted of each note.
+	OnDigest func(*rpc.Digest)
+	OnNote func(*rpc.Note)
+	// BuildNote builds this daemon's note.
+	BuildNote   func() *rpc.Note
 	Client *http.Client
 	Logger *log.Logger
 }
 
-// Swapper exchanges digests. It is safe for concurrent use.
-type Swapper struct {
+// Syncer exchanges digests. It is safe for concurrent use.
+type Syncer struct {
 	c       Config
 	started time.Time
 	// hurry asks for notes: to all whom this daemon tells, or to some.
@@ -119,29 +119,29 @@
 	next time.Time
 }
 
-var _ suture.Service = (*Swapper)(nil)
+var _ suture.Service = (*Syncer)(nil)
 
 // New returns a swapper that knows no peers.
-func New(c Config) *Swapper {
-	return &Swapper{c: c, calls: make(map[string]*call), hurry: make(chan bool, 1), started: time.Now()}
+func New(c Config) *Syncer {
+	return &Syncer{c: c, calls: make(map[string]*call), hurry: make(chan bool, 1), started: time.Now()}
 }
 
-// Hurry sends notes soon, as there is news: to all whom this daemon tells, or only to some
+// TriggerNotes sends notes soon, as there is news: to all whom this daemon tells, or only to some
 // of them, from a daemon that heard of it from a peer itself. Whoever has the news first
 // may not know all the others, and a note may be lost.
-func (s *Swapper) Hurry(all bool) {
+func (s *Syncer) TriggerNotes(all bool) {
 	select {
 	case s.hurry <- all:
 	default:
 	}
 }
 
-// Forward is how many peers get news at second hand: three spread it to sixty
+// ForwardFanOut is how many peers get news at second hand: three spread it to sixty
 // daemons in four steps.
-const Forward = 3
+const ForwardFanOut = 3
 
-// Tell sends this daemon's note to some addresses now.
-func (s *Swapper) Tell(ctx context.Context, addresses []string) {
+// SendNote sends this daemon's note to some addresses now.
+func (s *Syncer) SendNote(ctx context.Context, addresses []string) {
 	for _, address := range addresses {
 		go s.notice(ctx, address)
 	}
@@ -150,17 +150,17 @@
 // audience returns the peers that get notes. In a large fleet those are the relays, and
 // from a relay the daemons of its zone: so that no daemon calls more than a zone and the
 // relays of the others for one change.
-func (s *Swapper) audience(all bool) []string {
+func (s *Syncer) audience(all bool) []string {
 	now := time.Now()
-	if !s.c.Large() {
-		return some(s.Lately(), all)
+	if !s.c.LargeFleet() {
+		return some(s.LiveAddresses(), all)
 	}
 	var out []string
 	for _, d := range s.c.Roster.Relays(s.c.Zone, now) {
 		out = append(out, d.Address)
 	}
 	if !s.c.Relaying() {
-		return append(out, some(s.Lately(), false)...)
+		return append(out, some(s.LiveAddresses(), false)...)
 	}
 	if all {
 		for _, zone := range s.c.Roster.Zones() {
@@ -169,7 +169,7 @@
 			}
 		}
 	}
-	for _, d := range s.c.Roster.Lives(now) {
+	for _, d := range s.c.Roster.LiveDaemons(now) {
 		if d.Zone == s.c.Zone {
 			out = append(out, d.Address)
 		}
@@ -181,15 +181,15 @@
 
 // some returns all of a list, or up to Forward of it at random.
 func some(list []string, all bool) []string {
-	if all || len(list) <= Forward {
+	if all || len(list) <= ForwardFanOut {
 		return list
 	}
 	rand.Shuffle(len(list), func(i, k int) { list[i], list[k] = list[k], list[i] })
-	return list[:Forward]
+	return list[:ForwardFanOut]
 }
 
 // Serve swaps until ctx ends.
-func (s *Swapper) Serve(ctx context.Context) error {
+func (s *Syncer) Serve(ctx context.Context) error {
 	slots := make(chan struct{}, parallel)
 	each := func(addresses []string, call func(context.Context, string)) {
 		for _, address := range addresses {
@@ -224,9 +224,9 @@
 	return ctx.Err()
 }
 
-// NewsAge is how old the news of a peer may get.
-func (s *Swapper) NewsAge() time.Duration {
-	if s.c.Large() {
+// MaxDigestAge is how old the news of a peer may get.
+func (s *Syncer) MaxDigestAge() time.Duration {
+	if s.c.LargeFleet() {
 		return largeAge
 	}
 	return smallAge
@@ -234,18 +234,18 @@
 
 // notice sends a peer this daemon's note. A note that is lost is made up for by
 // the next digest.
-func (s *Swapper) notice(ctx context.Context, address string) {
+func (s *Syncer) notice(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if _, err := rpc.NewFleetProtobufClient("http://"+address, s.c.Client).Notice(ctx, s.c.Note()); err != nil {
+	if _, err := rpc.NewFleetProtobufClient("http://"+address, s.c.Client).Notice(ctx, s.c.BuildNote()); err != nil {
 		s.c.Logger.Debug("note not delivered", "address", address, "error", err)
 	}
 }
 
-func (s *Swapper) swap(ctx context.Context, address string) {
+func (s *Syncer) swap(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	d, err := rpc.NewFleetProtobufClient("http://"+address, s.c.Client).Swap(ctx, s.c.Self(s.receiver(address)))
+	d, err := rpc.NewFleetProtobufClient("http://"+address, s.c.Client).Swap(ctx, s.c.BuildDigest(s.receiver(address)))
 	s.mu.Lock()
 	if c := s.calls[address]; c != nil {
 		c.busy = false
@@ -253,8 +253,8 @@
 	s.mu.Unlock()
 	if err != nil {
 		now := time.Now()
-		if lost, news := s.c.Roster.Failed(address, now); news {
-			s.c.Logger.Warn("peer lost", "peer", lost.Host, "address", address, "silent_ms", now.Sub(lost.Answered).Milliseconds(), "error", err)
+		if lost, news := s.c.Roster.RecordFailure(address, now); news {
+			s.c.Logger.Warn("peer lost", "peer", lost.Host, "address", address, "silent_ms", now.Sub(lost.AnsweredAt).Milliseconds(), "error", err)
 		}
 		return
 	}
@@ -262,7 +262,7 @@
 }
 
 // receiver is whom a call to an address reaches, as far as it is known.
-func (s *Swapper) receiver(address string) Receiver {
+func (s *Syncer) receiver(address string) Receiver {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if c := s.calls[address]; c != nil {
@@ -275,27 +275,27 @@
 func receiverOf(d *rpc.Digest, address string) Receiver {
 	return Receiver{
 		Host: identifier.Host(d.GetHost()), Zone: identifier.AvailabilityZone(d.GetAvailabilityZone()), Address: address,
-		Relaying: d.GetRelaying(), HoldsDuties: d.GetHoldsDuties(), RosterKnown: d.GetRosterKnown(),
-		Pairs: len(d.GetRosterHashes()) == 0,
+		Relaying: d.GetRelaying(), HoldsDuties: d.GetHoldsDuties(), KnownRosterHashes: d.GetRosterKnown(),
+		FullMesh: len(d.GetRosterHashes()) == 0,
 	}
 }
 
 // merge takes in a digest that came from, or leads to, an address.
-func (s *Swapper) merge(d *rpc.Digest, address string) {
+func (s *Syncer) merge(d *rpc.Digest, address string) {
 	now := time.Now()
-	if s.c.Roster.Answered(d, address, now) {
+	if s.c.Roster.RecordAnswer(d, address, now) {
 		s.c.Logger.Info("peer regained", "peer", d.GetHost(), "address", address)
 	}
 	s.mu.Lock()
 	s.call(address).to = receiverOf(d, address)
 	s.mu.Unlock()
 	if s.c.Gatherer.Merge(d, now) {
-		s.c.Heard(d)
+		s.c.OnDigest(d)
 	}
 }
 
 // call returns what is kept of a peer. The caller holds the lock.
-func (s *Swapper) call(address string) *call {
+func (s *Syncer) call(address string) *call {
 	c := s.calls[address]
 	if c == nil {
 		c = &call{to: Receiver{Address: address}}
@@ -304,21 +304,21 @@
 	return c
 }
 
-// Lately returns the addresses of daemons that live.
-func (s *Swapper) Lately() []string {
+// LiveAddresses returns the addresses of daemons that live.
+func (s *Syncer) LiveAddresses() []string {
 	var out []string
-	for _, d := range s.c.Roster.Lives(time.Now()) {
+	for _, d := range s.c.Roster.LiveDaemons(time.Now()) {
 		out = append(out, d.Address)
 	}
 	return out
 }
 
-// Known returns all addresses, best first: those that answered lately.
-func (s *Swapper) Known() []string {
+// KnownAddresses returns all addresses, best first: those that answered lately.
+func (s *Syncer) KnownAddresses() []string {
 	now := time.Now()
 	var out, rest []string
 	for _, d := range s.c.Roster.All(now) {
-		if now.Sub(d.Heard()) < roster.Living {
+		if now.Sub(d.LastHeard()) < roster.LivenessTimeout {
 			out = append(out, d.Address)
 		} else {
 			rest = append(rest, d.Address)
@@ -328,13 +328,13 @@
 }
 
 // Swap answers a peer's call.
-func (s *Swapper) Swap(_ context.Context, d *rpc.Digest) (*rpc.Digest, error) {
+func (s *Syncer) Swap(_ context.Context, d *rpc.Digest) (*rpc.Digest, error) {
 	s.merge(d, d.GetAddress())
-	return s.c.Self(receiverOf(d, d.GetAddress())), nil
+	return s.c.BuildDigest(receiverOf(d, d.GetAddress())), nil
 }
 
 // Notice takes in a peer's note.
-func (s *Swapper) Notice(_ context.Context, n *rpc.Note) (*rpc.NoteReply, error) {
-	s.c.Noted(n)
+func (s *Syncer) Notice(_ context.Context, n *rpc.Note) (*rpc.NoteReply, error) {
+	s.c.OnNote(n)
 	return &rpc.NoteReply{}, nil
 }
--- a/internal/role/controller/controller.go
+++ b/internal/role/controller/controller.go
@@ -28,7 +28,7 @@
 	"brasschute/internal/fleet/repairer"
 	"brasschute/internal/fleet/sweeper"
 	"brasschute/internal/fleet/trail"
-	"brasschute/internal/peer/ledger"
+	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/client"
 	"brasschute/internal/platform/cloud"
@@ -59,8 +59,8 @@
 func New(c Config) *Controller {
 	s := c.Settings
 	k := &Controller{c: c, keeper: keeper.New(keeper.Config{}), tree: suture.NewSimple("controller")}
-	leaving := ledger.New(ledger.Config{Self: &rpc.Member{Host: string(s.Host), AvailabilityZone: string(s.AvailabilityZone)}})
-	k.registry = registry.New(registry.Config{Ledger: leaving})
+	leaving := membertracker.New(membertracker.Config{Self: &rpc.Member{Host: string(s.Host), AvailabilityZone: string(s.AvailabilityZone)}})
+	k.registry = registry.New(registry.Config{LeavingHosts: leaving})
 	platform := client.New(client.Config{Address: s.Platform.String(), Source: s.Source()})
 	lease := leaser.New(leaser.Config{
 		Store: platform, Zone: s.AvailabilityZone, Host: s.Host, Duration: s.Lease.Duration.Std(), Changed: k.leads,
--- a/internal/role/entry/beliefs.go
+++ b/internal/role/entry/beliefs.go
@@ -86,7 +86,7 @@
 	e.c.Logger.Info("configuration in force", "number", s.Number(), "operator", s.Change.Who)
 	e.scope.Gauge("configuration_number").Update(float64(s.Number()))
 	e.registry.Refresh()
-	e.exchanger.Hurry()
+	e.exchanger.Trigger()
 }
 
 func (e *Entry) refusedConfiguration(n identifier.ConfigurationNumber, err error) {
@@ -98,8 +98,8 @@
 // the streams that run there.
 func (e *Entry) endpointsChanged() {
 	e.streamer.ScheduleMoves()
-	e.evacuator.Hurry()
-	e.exchanger.Hurry()
+	e.evacuator.Trigger()
+	e.exchanger.Trigger()
 }
 
 func (e *Entry) platformReport(err error) {
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -49,11 +49,11 @@
 	"brasschute/internal/fleet/trail"
 	"brasschute/internal/ops/operator"
 	"brasschute/internal/ops/server"
-	"brasschute/internal/peer/exchanger"
-	"brasschute/internal/peer/holder"
-	"brasschute/internal/peer/ledger"
+	"brasschute/internal/peer/gossiper"
+	"brasschute/internal/peer/retainer"
+	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/meter"
-	"brasschute/internal/peer/reporter"
+	"brasschute/internal/peer/crashreporter"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/peer/signer"
 	"brasschute/internal/platform/client"
@@ -61,7 +61,7 @@
 	"brasschute/internal/platform/object"
 	"brasschute/internal/platform/watcher"
 	"brasschute/internal/route/budgeter"
-	"brasschute/internal/route/evacuator"
+	"brasschute/internal/route/migrator"
 	"brasschute/internal/route/limiter"
 	"brasschute/internal/route/poller"
 	"brasschute/internal/route/registry"
@@ -101,14 +101,14 @@
 	tree *suture.Supervisor
 
 	platform  *client.Client
-	ledger    *ledger.Ledger
+	ledger    *membertracker.Tracker
 	keeper    *keeper.Keeper
 	registry  *registry.Registry
-	exchanger *exchanger.Exchanger
+	exchanger *gossiper.Gossiper
 	// quarantine knows the requests under which endpoints ended.
-	quarantine *reporter.Reporter
+	quarantine *crashreporter.Reporter
 	streamer   *streamer.Streamer
-	evacuator  *evacuator.Evacuator
+	evacuator  *migrator.Migrator
 	claimer    *claimer.Claimer
 	handler    *handler.Handler
 	meter      *meter.Meter
@@ -151,24 +151,24 @@
 	s := e.c.Settings
 	e.meter = new(meter.Meter)
 	e.platform = client.New(client.Config{Address: s.Platform.String(), Source: s.Source()})
-	e.ledger = ledger.New(ledger.Config{Self: &rpc.Member{
+	e.ledger = membertracker.New(membertracker.Config{Self: &rpc.Member{
 		Host: string(s.Host), AvailabilityZone: string(s.AvailabilityZone), PeerAddress: s.PeerAddress().String(),
 		Incarnation: uint64(e.started.UnixMilli()),
 	}})
 	e.keeper = keeper.New(keeper.Config{OnChange: e.configured, OnRefused: e.refusedConfiguration})
-	e.registry = registry.New(registry.Config{Ledger: e.ledger, Changed: e.endpointsChanged, Price: e.price, Daemons: e.daemons})
+	e.registry = registry.New(registry.Config{LeavingHosts: e.ledger, OnChange: e.endpointsChanged, Price: e.price, Daemons: e.daemons})
 	records := recorder.New(recorder.Config{})
-	kept := holder.New(holder.Config{})
+	kept := retainer.New(retainer.Config{})
 	signing := signer.New(signer.Config{Key: key, Host: s.Host})
 	dial := net.Dialer{Timeout: dialTimeout, LocalAddr: s.Source()}
-	e.quarantine = reporter.New(reporter.Config{
+	e.quarantine = crashreporter.New(crashreporter.Config{
 		Host: s.Host, Dialer: &net.Dialer{LocalAddr: s.Source()}, Leaving: e.registry.Leaving,
 		// The host list numbers the lives of hosts.
-		Life:   func(k *registry.Pick) identifier.Born { return identifier.Born(k.Incarnation) },
-		Spread: func(bool) { e.exchanger.Hurry() }, Logger: e.c.Logger, Metrics: e.scope,
+		Incarnation:   func(k *registry.Pick) identifier.Born { return identifier.Born(k.Incarnation) },
+		OnNews: func(bool) { e.exchanger.Trigger() }, Logger: e.c.Logger, Metrics: e.scope,
 	})
-	e.exchanger = exchanger.New(exchanger.Config{
-		Reporter: e.quarantine, Ledger: e.ledger, Registry: e.registry, Keeper: e.keeper, Holder: kept, Recorder: records, Seeds: seeds(s),
+	e.exchanger = gossiper.New(gossiper.Config{
+		Reporter: e.quarantine, Members: e.ledger, Registry: e.registry, Keeper: e.keeper, Retainer: kept, Recorder: records, Seeds: seeds(s),
 		Client: &http.Client{Transport: signing.Sign(&http.Transport{
 			DialContext: e.meter.Dial(dial.DialContext), IdleConnTimeout: peerIdle, DisableCompression: true,
 		})},
@@ -185,11 +185,11 @@
 }
 
 // serving makes the parts on the path of requests.
-func (e *Entry) serving(key []byte, records *recorder.Recorder, kept *holder.Holder) {
+func (e *Entry) serving(key []byte, records *recorder.Recorder, kept *retainer.Retainer) {
 	s := e.c.Settings
 	endpoints := caller.New(caller.Config{Source: s.Source()})
 	budget := budgeter.New(budgeter.Config{})
-	e.evacuator = evacuator.New(evacuator.Config{Registry: e.registry, Caller: endpoints})
+	e.evacuator = migrator.New(migrator.Config{Registry: e.registry, Caller: endpoints})
 	e.streamer = streamer.New(streamer.Config{
 		Registry: e.registry, Caller: endpoints, Budgeter: budget, Zone: s.AvailabilityZone,
 		Stall: s.Engine.Stall.Std(), FirstStall: s.Engine.FirstStall.Std(), Quarantine: e.quarantine,
@@ -215,7 +215,7 @@
 	e.tree.Add(e.exchanger)
 	e.tree.Add(e.evacuator)
 	e.tree.Add(poller.New(poller.Config{
-		Registry: e.registry, Ledger: e.ledger, Caller: endpoints, OnReport: e.exchanger.Observed,
+		Registry: e.registry, Ledger: e.ledger, Caller: endpoints, OnReport: e.exchanger.ShareReport,
 	}))
 	e.tree.Add(&registrar{e: e})
 	e.tree.Add(&gauges{e: e})
--- a/internal/role/entry/registrar.go
+++ b/internal/role/entry/registrar.go
@@ -70,7 +70,7 @@
 // needed for safety, both save others a time-out.
 func (e *Entry) deregister(ctx context.Context) {
 	e.ledger.Leave()
-	e.exchanger.Farewell(ctx)
+	e.exchanger.AnnounceShutdown(ctx)
 	o, err := e.platform.Get(ctx, e.memberKey())
 	if err != nil {
 		return
--- a/internal/role/gateway/admission.go
+++ b/internal/role/gateway/admission.go
@@ -39,7 +39,7 @@
 		return
 	}
 	g.c.Logger.Warn("level of a quota far below zero", "request", q.ID, "organisation", q.Organisation.Name, "left", int(v.Level),
-		"rate", int(v.Rate), "set_aside", v.Reserved, "news_age_ms", g.swapper.NewsAge().Milliseconds())
+		"rate", int(v.Rate), "set_aside", v.Reserved, "news_age_ms", g.swapper.MaxDigestAge().Milliseconds())
 }
 
 // alone counts a request that found this daemon cut off from all others, which holds it to
--- a/internal/role/gateway/beliefs.go
+++ b/internal/role/gateway/beliefs.go
@@ -104,10 +104,10 @@
 	b := View{
 		Host: g.c.Deployment.Host, FollowsStore: g.follows(), StoreAgeMS: -1,
 		Quotas: g.allotter.Accounts(), Demands: g.demander.Demands(), Part: g.part().String(),
-		Quarantine: g.quarantine.List(), Forgotten: g.quarantine.Forgotten(),
+		Quarantine: g.quarantine.List(), Forgotten: g.quarantine.EvictedCount(),
 		Limits: g.pacer.Limits(),
 	}
-	b.Rollouts, b.OrdersKnown = g.rolloutBeliefs(), g.splitter.Known()
+	b.Rollouts, b.OrdersKnown = g.rolloutBeliefs(), g.splitter.OrdersKnown()
 	if c := g.versioner.Current(); c != nil {
 		b.Configuration = c.Number()
 	}
@@ -123,7 +123,7 @@
 	direct := g.gatherer.Latest(now)
 	for _, d := range g.roster.All(now) {
 		p := PeerView{
-			Host: string(d.Host), Zone: d.Zone, Address: d.Address, AgeMS: now.Sub(d.Heard()).Milliseconds(),
+			Host: string(d.Host), Zone: d.Zone, Address: d.Address, AgeMS: now.Sub(d.LastHeard()).Milliseconds(),
 			Relaying: d.Relaying, Observing: d.Observing,
 		}
 		if e, heard := direct[d.Host]; heard {
@@ -134,8 +134,8 @@
 	for _, c := range g.registry.Endpoints() {
 		b.Endpoints = append(b.Endpoints, EndpointView{
 			Endpoint: c.Endpoint, Service: c.Pool, Zone: c.AvailabilityZone, Leaving: c.Leaving, Ejected: c.Ejected(now),
-			Failures: c.Failures, InFlight: c.InFlight, Busy: c.Busy, Slow: c.Slow,
-			RestsMS: max(c.RestsUntil.Sub(now), 0).Milliseconds(),
+			Failures: c.Failures, InFlight: c.InFlight, Busy: c.PrefillUtilisation, Slow: c.Slowdown,
+			RestsMS: max(c.BackoffUntil.Sub(now), 0).Milliseconds(),
 		})
 	}
 	w.Header().Set("Content-Type", "application/json")
@@ -151,10 +151,10 @@
 	for _, o := range g.splitter.Orders() {
 		r := RolloutView{
 			Service: o.Service, Target: o.Target, Order: orderName(o.OrderID()), Phase: o.Phase.String(), Stored: o.Stored.String(),
-			SinceMS: now.Sub(o.Since).Milliseconds(), GrantMS: -1, Asked: o.Asked, Earned: o.Earned, Endpoints: g.versions(o.Service),
+			SinceMS: now.Sub(o.LearnedAt).Milliseconds(), GrantMS: -1, Asked: o.Requests, Earned: o.CanaryBudget, Endpoints: g.versions(o.Service),
 		}
-		if !o.Granted.IsZero() {
-			r.GrantMS, r.EndsMS = now.Sub(o.Granted).Milliseconds(), o.Ends.Sub(now).Milliseconds()
+		if !o.GrantedAt.IsZero() {
+			r.GrantMS, r.EndsMS = now.Sub(o.GrantedAt).Milliseconds(), o.OldEndAt.Sub(now).Milliseconds()
 		}
 		for _, t := range tallies {
 			if t.Service == o.Service {
--- a/internal/role/gateway/departures.go
+++ b/internal/role/gateway/departures.go
@@ -20,7 +20,7 @@
 	if g.limitLines.Allow() {
 		g.c.Logger.Info("endpoint leaving", "endpoint", pick.Endpoint, "life", pick.Incarnation, "source", sourceAnswer, "request", q.ID)
 	}
-	g.swapper.Hurry(true)
+	g.swapper.TriggerNotes(true)
 }
 
 // sourceAnswer names an endpoint's own answer as a source.
--- a/internal/role/gateway/duties.go
+++ b/internal/role/gateway/duties.go
@@ -99,7 +99,7 @@
 }
 
 // settleTime is how long counts of other daemons take.
-func (g *Gateway) settleTime() time.Duration { return g.swapper.NewsAge() + settleMargin }
+func (g *Gateway) settleTime() time.Duration { return g.swapper.MaxDigestAge() + settleMargin }
 
 func (g *Gateway) keepLease(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
@@ -241,12 +241,12 @@
 	}
 	u.told = now
 	var addresses []string
-	for _, d := range u.g.roster.Lives(now) {
+	for _, d := range u.g.roster.LiveDaemons(now) {
 		if d.Observing {
 			addresses = append(addresses, d.Address)
 		}
 	}
-	u.g.swapper.Tell(ctx, addresses)
+	u.g.swapper.SendNote(ctx, addresses)
 }
 
 // services describes what can be scaled, as it is now.
@@ -305,7 +305,7 @@
 	for _, h := range u.g.registry.Hosts() {
 		z := counts[h.AvailabilityZone]
 		e := &h.Endpoints[0]
-		if z == nil || u.g.leaves(&h) || e.Pool != identifier.Pool(s) || !u.g.splitter.Counts(s, e.Version) {
+		if z == nil || u.g.leaves(&h) || e.Pool != identifier.Pool(s) || !u.g.splitter.CountsTowardsSize(s, e.Version) {
 			continue
 		}
 		if h.Class == document.ClassReclaimable {
--- a/internal/role/gateway/fleet.go
+++ b/internal/role/gateway/fleet.go
@@ -54,7 +54,7 @@
 	}
 	u.sized = now
 	daemons := u.g.daemons()
-	addresses := append(u.g.swapper.Lately(), u.g.c.Deployment.Peers.String())
+	addresses := append(u.g.swapper.LiveAddresses(), u.g.c.Deployment.Peers.String())
 	slices.Sort(addresses)
 	if int64(daemons) <= u.g.storedSize.Load() && !u.unknown(addresses) {
 		return
@@ -80,7 +80,7 @@
 func (u *duties) members(now time.Time) []fleetMember {
 	d := u.g.c.Deployment
 	out := []fleetMember{{d.Host, d.AvailabilityZone, d.Peers.String()}}
-	for _, o := range u.g.roster.Lives(now) {
+	for _, o := range u.g.roster.LiveDaemons(now) {
 		out = append(out, fleetMember{o.Host, o.Zone, o.Address})
 	}
 	return out
--- a/internal/role/gateway/following.go
+++ b/internal/role/gateway/following.go
@@ -16,12 +16,12 @@
 // follows tells whether this daemon follows the store itself. In a large fleet a few
 // relays do, and tell the others.
 func (g *Gateway) follows() bool {
-	return !g.large() || g.roster.Following(time.Now())
+	return !g.large() || g.roster.FollowsStore(time.Now())
 }
 
 // observing tells whether this daemon follows the store, and reaches it.
 func (g *Gateway) observing() bool {
-	return g.follows() && time.Since(time.Unix(0, g.storeHeard.Load())) < roster.Living
+	return g.follows() && time.Since(time.Unix(0, g.storeHeard.Load())) < roster.LivenessTimeout
 }
 
 type sink func([]object.Object)
@@ -35,9 +35,9 @@
 	var lost time.Time
 	return watcher.New(watcher.Config{
 		Platform: g.store, Sink: sink(g.take), Prefixes: []string{kind}, Idle: func() bool { return !g.follows() },
-		Known: func() map[string]uint64 { return g.mirror.Known(kind) },
+		Known: func() map[string]uint64 { return g.mirror.KnownVersions(kind) },
 		OnList: func(l watcher.List) {
-			g.mirror.Listed(kind, l.Revision, l.Gap, l.Uncertain)
+			g.mirror.BeginList(kind, l.Revision, l.Gap, l.Uncertain)
 			if l.Uncertain {
 				// The mirror's revision stays what it was before the list.
 				go g.ask(kind, g.mirror.Revision(kind))
@@ -50,7 +50,7 @@
 			}
 			if err == nil && kind == platform.RolloutKind {
 				// Nothing is applied of a list that is empty.
-				g.splitter.Put(nil, sourceStore)
+				g.splitter.ApplyOrders(nil, sourceStore)
 			}
 			switch {
 			case err != nil && lost.IsZero():
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -54,14 +54,14 @@
 	"brasschute/internal/peer/aggregator"
 	"brasschute/internal/peer/fetcher"
 	"brasschute/internal/peer/gatherer"
-	"brasschute/internal/peer/ledger"
+	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/meter"
 	"brasschute/internal/peer/mirror"
-	"brasschute/internal/peer/reporter"
+	"brasschute/internal/peer/crashreporter"
 	"brasschute/internal/peer/roster"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/peer/supplier"
-	"brasschute/internal/peer/swapper"
+	"brasschute/internal/peer/syncer"
 	"brasschute/internal/platform/registrar"
 	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/budgeter"
@@ -148,10 +148,10 @@
 
 	store      *platform.Store
 	versioner  versioner.Versioner
-	ledger     *ledger.Ledger
+	ledger     *membertracker.Tracker
 	registry   *registry.Registry
 	sender     *sender.Sender
-	quarantine *reporter.Reporter
+	quarantine *crashreporter.Reporter
 	receiver   *receiver.Receiver
 	callers    *server.Server
 	reporter   prometheus.Reporter
@@ -201,7 +201,7 @@
 	registrar registrar.Registrar
 	// unread bounds the log lines of records that can't be read.
 	unread   *rate.Limiter
-	swapper  *swapper.Swapper
+	swapper  *syncer.Syncer
 	supplier *supplier.Supplier
 	lease    *leaser.Leaser
 	sequence atomic.Uint64
@@ -271,21 +271,21 @@
 	g.tallier = tallier.New(tallier.Config{Window: d.Bounds.UsageWindow, Keep: d.Bounds.UsageDue, Now: g.clock.Now})
 	g.allotter = quotalimiter.New(quotalimiter.Config{
 		Window: d.Bounds.QuotaWindow, Overage: d.Bounds.QuotaOverage, Slack: d.Bounds.QuotaSlack, FleetSize: g.fleetSize,
-		GossipDelay: func() time.Duration { return g.swapper.NewsAge() },
+		GossipDelay: func() time.Duration { return g.swapper.MaxDigestAge() },
 	})
 	g.budgets = make(map[identifier.Service]*budgeter.Budgeter)
-	g.ledger = ledger.New(ledger.Config{Self: &rpc.Member{Host: string(d.Host), AvailabilityZone: string(d.AvailabilityZone), PeerAddress: d.Peers.String()}})
+	g.ledger = membertracker.New(membertracker.Config{Self: &rpc.Member{Host: string(d.Host), AvailabilityZone: string(d.AvailabilityZone), PeerAddress: d.Peers.String()}})
 	g.buildPacer()
 	g.restNotes = restNotes()
-	g.registry = registry.New(registry.Config{Ledger: g.ledger, Daemons: g.daemons, Pacer: g.pacer})
+	g.registry = registry.New(registry.Config{LeavingHosts: g.ledger, Daemons: g.daemons, RateLimiter: g.pacer})
 	g.splitter = splitter.New(splitter.Config{
-		Share: d.Bounds.CanaryShare, Slack: d.Bounds.CanarySlack, Leave: d.Bounds.RollbackTime, Now: g.uptime, Daemons: g.fleetSize,
-		Endpoints: g.versions, Changed: g.rolloutChanged, Counted: g.rolloutCounted,
+		CanaryShare: d.Bounds.CanaryShare, CanarySlack: d.Bounds.CanarySlack, RollbackTime: d.Bounds.RollbackTime, Now: g.uptime, Daemons: g.fleetSize,
+		Endpoints: g.versions, OnPhaseChange: g.rolloutChanged, OnAnswer: g.rolloutCounted,
 	})
 	opened := g.scope.Counter("endpoint_connections_opened")
 	g.sender = sender.New(sender.Config{Dialer: g.c.Network, OnConnect: func() { opened.Inc(1) }})
-	g.quarantine = reporter.New(reporter.Config{
-		Host: d.Host, Dialer: g.c.Network, Leaving: g.registry.Leaving, Spread: g.spreadEndings, Logger: g.c.Logger, Metrics: g.scope,
+	g.quarantine = crashreporter.New(crashreporter.Config{
+		Host: d.Host, Dialer: g.c.Network, Leaving: g.registry.Leaving, OnNews: g.spreadEndings, Logger: g.c.Logger, Metrics: g.scope,
 	})
 	relay := relayer.New(relayer.Config{
 		Registry: g.registry, Placer: placer.New(placer.Config{Registry: g.registry, Estimator: &g.estimator, Zone: d.AvailabilityZone}),
@@ -302,7 +302,7 @@
 	if d.Rollouts {
 		g.tree.Add(g.follow("roll-outs", platform.RolloutKind, rolloutWatch+rand.N(rolloutWatch/2)))
 	} else {
-		g.splitter.Put(nil, sourceSettings)
+		g.splitter.ApplyOrders(nil, sourceSettings)
 	}
 	g.tree.Add(service(g.prune))
 	g.tree.Add(service(g.gauge))
--- a/internal/role/gateway/limits.go
+++ b/internal/role/gateway/limits.go
@@ -30,7 +30,7 @@
 // senders is the part of the fleet that this daemon hears.
 func (g *Gateway) senders() pacer.Fleet {
 	f := pacer.Fleet{Size: g.fleetSize(), Stopping: g.stopping.Load()}
-	for _, d := range g.roster.Lives(time.Now()) {
+	for _, d := range g.roster.LiveDaemons(time.Now()) {
 		if !d.Stopping {
 			f.Peers = append(f.Peers, d.Host)
 		}
@@ -50,7 +50,7 @@
 		}
 		return
 	}
-	g.pacer.ObserveResponse(pick.Life(), pacer.RateLimit{PerSecond: reply.Limit.PerSecond, Limited: reply.Limit.Present}, sent)
+	g.pacer.ObserveResponse(pick.EndpointIncarnation(), pacer.RateLimit{PerSecond: reply.Limit.PerSecond, Limited: reply.Limit.Present}, sent)
 }
 
 // limitChanged writes down that an endpoint takes more or less than before, and tells peers.
@@ -71,7 +71,7 @@
 	if c.Limited && c.Previous.Limited && c.PerSecond > (1-steadyPart)*c.Previous.PerSecond {
 		return
 	}
-	g.swapper.Hurry(c.Local || g.large() && g.relaying())
+	g.swapper.TriggerNotes(c.Local || g.large() && g.relaying())
 }
 
 // limits is what this daemon tells others of endpoints' limits.
--- a/internal/role/gateway/news.go
+++ b/internal/role/gateway/news.go
@@ -11,7 +11,7 @@
 	"brasschute/internal/peer/fetcher"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/peer/supplier"
-	"brasschute/internal/peer/swapper"
+	"brasschute/internal/peer/syncer"
 	"brasschute/internal/peer/throttler"
 	"brasschute/internal/platform/object"
 	"brasschute/internal/route/candidate"
@@ -44,10 +44,10 @@
 	transport := &http.Transport{
 		DialContext: g.peerBytes.Dial(g.c.Network.DialContext), IdleConnTimeout: peerIdle, DisableCompression: true,
 	}
-	g.swapper = swapper.New(swapper.Config{
+	g.swapper = syncer.New(syncer.Config{
 		Host: d.Host, Zone: d.AvailabilityZone, Address: d.Peers.String(), Gatherer: &g.gatherer, Logger: g.c.Logger,
-		Roster: g.roster, Relaying: g.relaying, Large: g.large,
-		Self: g.digestFor, Heard: g.heard, Note: g.note, Noted: g.noted, Client: &http.Client{Transport: transport},
+		Roster: g.roster, Relaying: g.relaying, LargeFleet: g.large,
+		BuildDigest: g.digestFor, OnDigest: g.heard, BuildNote: g.note, OnNote: g.noted, Client: &http.Client{Transport: transport},
 	})
 	throttle := throttler.New(throttler.Config{BytesPerSecond: d.LinkBytesPerSecond})
 	g.supplier = supplier.New(supplier.Config{
@@ -58,14 +58,14 @@
 	for _, seed := range d.Seeds {
 		g.roster.Add(seed.String())
 	}
-	ahead := fetcher.Config{Ask: g.supplier.Ask, Others: g.swapper.Lately, Take: g.takeAll, Logger: g.c.Logger}
-	ahead.Kind, ahead.Since, ahead.Known = platform.CatalogKind, func() uint64 { return 0 }, g.number
+	ahead := fetcher.Config{RequestSnapshot: g.supplier.RequestSnapshot, OtherPeers: g.swapper.LiveAddresses, Apply: g.takeAll, Logger: g.c.Logger}
+	ahead.Kind, ahead.SinceRevision, ahead.KnownRevision = platform.CatalogKind, func() uint64 { return 0 }, g.number
 	g.catalogs = fetcher.New(ahead)
-	ahead.Kind, ahead.Since = platform.EndpointKind, g.endpointsRevision
-	ahead.Known = ahead.Since
+	ahead.Kind, ahead.SinceRevision = platform.EndpointKind, g.endpointsRevision
+	ahead.KnownRevision = ahead.SinceRevision
 	g.endpoints = fetcher.New(ahead)
-	ahead.Kind, ahead.Since = platform.RolloutKind, g.rolloutsRevision
-	ahead.Known = ahead.Since
+	ahead.Kind, ahead.SinceRevision = platform.RolloutKind, g.rolloutsRevision
+	ahead.KnownRevision = ahead.SinceRevision
 	g.orders = fetcher.New(ahead)
 	g.tree.Add(g.swapper)
 	g.tree.Add(service(g.askPeers))
@@ -74,7 +74,7 @@
 
 // fleetServer answers peers' calls.
 type fleetServer struct {
-	*swapper.Swapper
+	*syncer.Syncer
 	*supplier.Supplier
 }
 
@@ -107,7 +107,7 @@
 		out.Speeds = append(out.Speeds, engineSpeed(name, s))
 	}
 	for _, l := range g.registry.Loads(time.Now()) {
-		out.Loads = append(out.Loads, &rpc.EndpointLoad{Endpoint: string(l.Endpoint), Born: int64(l.Born), TokensPerSecond: l.TokensPerSecond, Running: uint32(l.Running), UnreadTokens: l.Unread})
+		out.Loads = append(out.Loads, &rpc.EndpointLoad{Endpoint: string(l.Endpoint), Born: int64(l.Born), TokensPerSecond: l.TokensPerSecond, Running: uint32(l.Running), UnreadTokens: l.PendingPrefill})
 	}
 	if g.lease != nil {
 		out.HoldsDuties = g.lease.Sure()
@@ -117,11 +117,11 @@
 	out.Observing = g.observing()
 	out.Relaying = g.large() && g.relaying()
 	out.Leaving, out.Departures = g.leaving()
-	out.Suspects = g.quarantine.Told()
-	out.Rollouts, out.Trials, out.OrdersKnown = g.rolloutNews(), g.trials(), g.splitter.Known()
+	out.Suspects = g.quarantine.RPCSuspects()
+	out.Rollouts, out.Trials, out.OrdersKnown = g.rolloutNews(), g.trials(), g.splitter.OrdersKnown()
 	out.Limits, out.Rests = g.limits(), g.restsTold()
 	if !g.large() {
-		out.Peers = g.swapper.Lately()
+		out.Peers = g.swapper.LiveAddresses()
 	}
 	return out
 }
@@ -131,12 +131,12 @@
 	host := identifier.Host(d.GetHost())
 	g.toldSize.Store(max(g.toldSize.Load(), int64(d.GetFleet())))
 	g.account(d)
-	g.quarantine.Heard(d.GetSuspects())
+	g.quarantine.MergeSuspects(d.GetSuspects())
 	g.pacer.Merge(limitsTold(d.GetLimits()))
 	g.spare(d.GetRests())
 	g.hearRollouts(d.GetRollouts(), d.GetHost(), d.GetAddress())
 	if d.GetOrdersKnown() && len(d.GetRollouts()) == 0 {
-		g.splitter.Put(nil, d.GetHost())
+		g.splitter.ApplyOrders(nil, d.GetHost())
 	}
 	for _, part := range d.GetCounted() {
 		g.parts.Merge(part, time.Now())
@@ -165,7 +165,7 @@
 // learn takes in what the other daemons send to each endpoint.
 func (g *Gateway) learn(ctx context.Context) error {
 	return waiter.Every(ctx, learnPause, func(context.Context) {
-		others := make(map[identifier.Endpoint]candidate.Others)
+		others := make(map[identifier.Endpoint]candidate.SentLoad)
 		for _, l := range g.loads(time.Now()) {
 			endpoint := identifier.Endpoint(l.GetEndpoint())
 			if _, present := g.registrar.Current(endpoint, identifier.Born(l.GetBorn())); !present {
@@ -175,10 +175,10 @@
 			sum := others[endpoint]
 			sum.TokensPerSecond += l.GetTokensPerSecond()
 			sum.Running += int(l.GetRunning())
-			sum.Unread += l.GetUnreadTokens()
+			sum.PendingPrefill += l.GetUnreadTokens()
 			others[endpoint] = sum
 		}
-		g.registry.Learn(others)
+		g.registry.SetPeerLoads(others)
 	})
 }
 
@@ -189,7 +189,7 @@
 	}
 	var out []*rpc.EndpointLoad
 	for _, e := range g.gatherer.Latest(now) {
-		if now.Sub(e.Heard) <= loadAge {
+		if now.Sub(e.ReceivedAt) <= loadAge {
 			out = append(out, e.Digest.GetLoads()...)
 		}
 	}
@@ -253,7 +253,7 @@
 		out.HoldsDuties = g.lease.Sure()
 	}
 	out.ConfigurationNumber = g.number()
-	out.Suspects = g.quarantine.Told()
+	out.Suspects = g.quarantine.RPCSuspects()
 	out.Rollouts = g.rolloutNews()
 	out.Limits, out.Rests = g.limits(), g.restsTold()
 	return out
@@ -269,7 +269,7 @@
 
 func (g *Gateway) noted(n *rpc.Note) {
 	g.led(n.GetHoldsDuties())
-	g.quarantine.Heard(n.GetSuspects())
+	g.quarantine.MergeSuspects(n.GetSuspects())
 	g.pacer.Merge(limitsTold(n.GetLimits()))
 	g.spare(n.GetRests())
 	g.hearRollouts(n.GetRollouts(), n.GetHost(), n.GetAddress())
@@ -290,7 +290,7 @@
 		g.spreadNews(g.mirror.Replace(kind, out, r.GetRevision()), address)
 		return
 	}
-	g.spreadNews(g.mirror.Hear(out), address)
+	g.spreadNews(g.mirror.ApplyFromPeer(out), address)
 }
 
 // askPeers fills the beliefs of a daemon that started while the store turns it
@@ -301,7 +301,7 @@
 		if g.versioner.Current() != nil && g.listed.Load() {
 			return suture.ErrDoNotRestart
 		}
-		for _, address := range g.swapper.Known() {
+		for _, address := range g.swapper.KnownAddresses() {
 			if g.askPeer(ctx, address) {
 				break
 			}
@@ -313,7 +313,7 @@
 // askPeer takes over all that a peer knows, and reports whether it did.
 func (g *Gateway) askPeer(ctx context.Context, address string) bool {
 	began := time.Now()
-	reply, err := g.supplier.Ask(ctx, address, "", 0)
+	reply, err := g.supplier.RequestSnapshot(ctx, address, "", 0)
 	took := time.Since(began).Milliseconds()
 	if err != nil || len(reply.GetObjects()) == 0 {
 		g.c.Logger.Warn("no beliefs from a peer", "address", address, "took_ms", took, "error", err)
@@ -330,12 +330,12 @@
 	ctx, cancel := context.WithTimeout(context.Background(), askTime)
 	defer cancel()
 	asked := 0
-	for _, d := range g.roster.Lives(time.Now()) {
+	for _, d := range g.roster.LiveDaemons(time.Now()) {
 		if asked == askSome || !d.Observing {
 			continue
 		}
 		asked++
-		reply, err := g.supplier.Ask(ctx, d.Address, kind, after)
+		reply, err := g.supplier.RequestSnapshot(ctx, d.Address, kind, after)
 		g.c.Logger.Info("list lacks objects, peer asked", "kind", kind, "after", after, "peer", d.Host,
 			"objects", len(reply.GetObjects()), "error", err)
 		if err == nil {
--- a/internal/role/gateway/objects.go
+++ b/internal/role/gateway/objects.go
@@ -52,7 +52,7 @@
 	if len(endpoints) > 0 {
 		g.endpointsChanged(endpoints)
 	}
-	g.swapper.Hurry(g.follows())
+	g.swapper.TriggerNotes(g.follows())
 }
 
 // readable leaves out configurations that can't be read, and what else is stored beside
@@ -132,7 +132,7 @@
 		}
 		listed[id] = h
 	}
-	g.registry.Put(listed)
+	g.registry.UpdateHosts(listed)
 	g.listed.Store(g.listed.Load() || len(g.registry.Hosts()) > 0)
 }
 
--- a/internal/role/gateway/objects_test.go
+++ b/internal/role/gateway/objects_test.go
@@ -116,7 +116,7 @@
 			time.Sleep(2 * learnPause)
 			for _, e := range g.registry.Endpoints() {
 				if e.Endpoint == "i-2" {
-					e.Refresh(time.Now(), candidate.Pace{Drain: 40000})
+					e.Refresh(time.Now(), candidate.LoadParameters{PrefillRate: 40000})
 					return e.Streams
 				}
 			}
--- a/internal/role/gateway/quarantine.go
+++ b/internal/role/gateway/quarantine.go
@@ -33,7 +33,7 @@
 // spreadEndings tells peers of news about requests under which endpoints ended. A relay passes
 // what it heard on to all that it tells, another daemon to some, as whoever saw an ending may
 // not know all daemons.
-func (g *Gateway) spreadEndings(own bool) { g.swapper.Hurry(own || g.large() && g.relaying()) }
+func (g *Gateway) spreadEndings(own bool) { g.swapper.TriggerNotes(own || g.large() && g.relaying()) }
 
 // held returns the requests that are held, and a text that changes with them.
 func (g *Gateway) held() (list []quarantiner.Suspect, state string) {
@@ -88,7 +88,7 @@
 		g.unreadable([]error{fmt.Errorf("%s, revision %d: %w", quarantineKey, o.Version, err)})
 		return o.Version, nil
 	}
-	g.quarantine.Hear(shift(r.Requests, time.Since(g.clock.Now())))
+	g.quarantine.Merge(shift(r.Requests, time.Since(g.clock.Now())))
 	g.c.Logger.Info("requests in quarantine read from the store", "requests", len(r.Requests), "revision", o.Version)
 	return o.Version, nil
 }
--- a/internal/role/gateway/quarantine_test.go
+++ b/internal/role/gateway/quarantine_test.go
@@ -163,8 +163,8 @@
 		t.Run(fmt.Sprint(daemons, " daemons"), func(t *testing.T) {
 			inEngineFleet(t, daemons, fatalOnly, func(f *testFleet, e *engines) {
 				const alone = 1
-				f.daemons[alone].quarantine.Ended("seen behind the cut", quarantiner.Ending{Endpoint: "i-x"})
-				f.daemons[alone].quarantine.Ended("seen behind the cut", quarantiner.Ending{Endpoint: "i-y"})
+				f.daemons[alone].quarantine.RecordEnding("seen behind the cut", quarantiner.Ending{Endpoint: "i-x"})
+				f.daemons[alone].quarantine.RecordEnding("seen behind the cut", quarantiner.Ending{Endpoint: "i-y"})
 				f.networks[alone].cut.Store(true)
 				time.Sleep(2 * time.Second)
 				f.endTwice(fatalBody, 0, 2)
--- a/internal/role/gateway/rests.go
+++ b/internal/role/gateway/rests.go
@@ -22,14 +22,14 @@
 // for a time. Others are told and spare it: else each of them finds out with a request of a
 // client, whose next try takes from the retry budget of the service.
 func (g *Gateway) ObserveBackoff(q *request.Request, pick *registry.Pick, d time.Duration) {
-	until := g.registry.Rest(pick, d)
+	until := g.registry.BackOff(pick, d)
 	g.scope.Counter("endpoint_rests").Inc(1)
 	if g.limitLines.Allow() {
 		g.c.Logger.Info("endpoint wants rest", "request", q.ID, "endpoint", pick.Endpoint, "born", pick.Born, "for_ms", d.Milliseconds(),
 			"left_alone_ms", time.Until(until).Milliseconds())
 	}
 	if g.restNotes.Allow() {
-		g.swapper.Hurry(true)
+		g.swapper.TriggerNotes(true)
 	}
 }
 
@@ -37,19 +37,19 @@
 func (g *Gateway) spare(list []*rpc.EndpointRest) {
 	news := false
 	for _, l := range list {
-		news = g.registry.Spare(registry.Rest{
+		news = g.registry.ApplyPeerBackoff(registry.Backoff{
 			Endpoint: identifier.Endpoint(l.GetEndpoint()), Born: identifier.Born(l.GetBorn()),
 			Until: time.Now().Add(time.Duration(l.GetLeftMilli()) * time.Millisecond),
 		}) || news
 	}
 	if news && g.large() && g.relaying() && g.restNotes.Allow() {
-		g.swapper.Hurry(true)
+		g.swapper.TriggerNotes(true)
 	}
 }
 
 // restsTold is what this daemon tells others of endpoints that want rest.
 func (g *Gateway) restsTold() []*rpc.EndpointRest {
-	list := g.registry.Rests()
+	list := g.registry.Backoffs()
 	out := make([]*rpc.EndpointRest, len(list))
 	for i, l := range list {
 		out[i] = &rpc.EndpointRest{Endpoint: string(l.Endpoint), Born: int64(l.Born), LeftMilli: time.Until(l.Until).Milliseconds()}
--- a/internal/role/gateway/rollouts.go
+++ b/internal/role/gateway/rollouts.go
@@ -57,11 +57,11 @@
 		}
 		orders[name] = r
 	}
-	g.splitter.Put(orders, source)
+	g.splitter.ApplyOrders(orders, source)
 }
 
 // rolloutChanged writes down what this daemon takes for the phase of a roll-out from now on.
-func (g *Gateway) rolloutChanged(c splitter.Change) {
+func (g *Gateway) rolloutChanged(c splitter.PhaseChange) {
 	g.scope.Tagged(map[string]string{"service": string(c.Service), "phase": c.After.String()}).Counter("rollout_phases").Inc(1)
 	g.c.Logger.Info("roll-out", "service", c.Service, "target", c.Target, "order", orderName(c.Order), "phase", c.After, "before", c.Before,
 		"source", c.Source, "age_ms", c.Age.Milliseconds())
@@ -98,8 +98,8 @@
 		grant := granted[id]
 		r := &rpc.Rollout{Service: string(o.Service), Target: string(o.Target), Order: id, Revision: g.rolloutsRevision()}
 		if grant.Order == id {
-			r.Phase, r.Fencing, r.Beat = uint32(grant.Phase), grant.Fencing, grant.Beat
-			r.AgeMilli, r.LeftMilli = now.Sub(grant.Said).Milliseconds(), grant.Ends.Sub(now).Milliseconds()
+			r.Phase, r.Fencing, r.Beat = uint32(grant.Phase), grant.Fencing, grant.Sequence
+			r.AgeMilli, r.LeftMilli = now.Sub(grant.IssuedAt).Milliseconds(), grant.OldEndAt.Sub(now).Milliseconds()
 		}
 		out = append(out, r)
 	}
@@ -118,14 +118,14 @@
 		if r.GetFencing() == 0 || rollout.Phase(r.GetPhase()) > rollout.Reverted || r.GetAgeMilli() < 0 {
 			continue
 		}
-		news = g.splitter.Hear(&splitter.Grant{
+		news = g.splitter.ApplyGrant(&splitter.Grant{
 			Service: identifier.Service(r.GetService()), Target: identifier.Version(r.GetTarget()), Order: r.GetOrder(),
-			Phase: rollout.Phase(r.GetPhase()), Fencing: r.GetFencing(), Beat: r.GetBeat(),
-			Said: now.Add(-time.Duration(r.GetAgeMilli()) * time.Millisecond), Ends: now.Add(time.Duration(r.GetLeftMilli()) * time.Millisecond),
+			Phase: rollout.Phase(r.GetPhase()), Fencing: r.GetFencing(), Sequence: r.GetBeat(),
+			IssuedAt: now.Add(-time.Duration(r.GetAgeMilli()) * time.Millisecond), OldEndAt: now.Add(time.Duration(r.GetLeftMilli()) * time.Millisecond),
 		}, host) || news
 	}
 	if news {
-		g.swapper.Hurry(g.large() && g.relaying())
+		g.swapper.TriggerNotes(g.large() && g.relaying())
 	}
 }
 
@@ -153,7 +153,7 @@
 			return
 		}
 		for _, t := range d.GetTrials() {
-			if t.GetEndpoint() == "" && now.Sub(heard) < roster.Living {
+			if t.GetEndpoint() == "" && now.Sub(heard) < roster.LivenessTimeout {
 				running[identifier.Service(t.GetService())] += int(t.GetSent()) - int(t.GetEnded())
 			}
 			out[name] = append(out[name], splitter.Tally{
@@ -170,7 +170,7 @@
 	for _, e := range entries {
 		// Across zones daemons tell no trials but through their relays.
 		if len(e.Digest.GetTrials()) > 0 {
-			take(e.Digest, e.Heard)
+			take(e.Digest, e.ReceivedAt)
 		}
 	}
 	return out, running
@@ -195,7 +195,7 @@
 			hurry = u.rolloutStep(ctx, fencing, &step) || hurry
 		}
 		if hurry {
-			u.g.swapper.Hurry(true)
+			u.g.swapper.TriggerNotes(true)
 		}
 		u.explainLacks(in)
 	})
@@ -210,9 +210,9 @@
 		// What is complete ends the old endpoints, and is so once it is stored.
 		told = rollout.Switching
 	}
-	u.g.splitter.Hear(&splitter.Grant{
+	u.g.splitter.ApplyGrant(&splitter.Grant{
 		Service: s.Order.Service, Target: s.Order.Target, Order: s.Order.OrderID(), Phase: told,
-		Fencing: fencing, Beat: u.beat, Said: u.g.uptime(), Ends: s.Ends,
+		Fencing: fencing, Sequence: u.beat, IssuedAt: u.g.uptime(), OldEndAt: s.Ends,
 	}, string(u.g.c.Deployment.Host))
 	if s.News {
 		u.g.scope.Tagged(map[string]string{"service": string(s.Order.Service), "phase": s.Phase.String()}).Counter("rollouts_decided").Inc(1)
@@ -254,18 +254,18 @@
 func (u *duties) explainLacks(in *promoter.Input) {
 	for i := range in.Orders {
 		o := &in.Orders[i]
-		if o.Phase != rollout.Trying || in.Now.Before(o.Since.Add(o.Duration)) || in.Now.Sub(u.lacksTold) < lackPause {
+		if o.Phase != rollout.Trying || in.Now.Before(o.LearnedAt.Add(o.Duration)) || in.Now.Sub(u.lacksTold) < lackPause {
 			continue
 		}
 		if lacks := u.promoter.Lacks(o, in); lacks != "" {
 			u.lacksTold = in.Now
 			u.g.c.Logger.Warn("roll-out behind its deadline", "service", o.Service, "target", o.Target, "order", orderName(o.OrderID()),
-				"late_ms", in.Now.Sub(o.Since.Add(o.Duration)).Milliseconds(), "lacks", lacks)
+				"late_ms", in.Now.Sub(o.LearnedAt.Add(o.Duration)).Milliseconds(), "lacks", lacks)
 		}
 	}
 }
 
 // versions counts a service's endpoints by version.
 func (g *Gateway) versions(s identifier.Service) map[identifier.Version]int {
-	return g.registry.Versions(identifier.Pool(s))
+	return g.registry.VersionCounts(identifier.Pool(s))
 }
--- a/internal/role/gateway/sums.go
+++ b/internal/role/gateway/sums.go
@@ -7,7 +7,7 @@
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/peer/aggregator"
 	"brasschute/internal/peer/rpc"
-	"brasschute/internal/peer/swapper"
+	"brasschute/internal/peer/syncer"
 	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/estimator"
 )
@@ -38,7 +38,7 @@
 // relaying tells whether this daemon relays: by its name, or as it holds the duties, for
 // which it needs to hear all zones.
 func (g *Gateway) relaying() bool {
-	return g.lease != nil && g.lease.Sure() || g.roster.Relaying(time.Now())
+	return g.lease != nil && g.lease.Sure() || g.roster.IsRelay(time.Now())
 }
 
 // part tells how this daemon hears of the others now.
@@ -65,8 +65,8 @@
 		g.aggregator.Rebase()
 		g.allotter.Regroup()
 	}
-	u, news := g.aggregator.Hear(d, p == partRelay, now)
-	if n := g.aggregator.Refused(); n > 0 {
+	u, news := g.aggregator.Merge(d, p == partRelay, now)
+	if n := g.aggregator.TakeRejected(); n > 0 {
 		g.scope.Counter("sums_refused").Inc(int64(n))
 		if due(&g.refusedTold) {
 			g.c.Logger.Warn("parts of a peer's sums left out", "peer", d.GetHost(), "items", n)
@@ -96,17 +96,17 @@
 func groupNews(u aggregator.Update) quotalimiter.Update {
 	accounts := make(map[identifier.Organisation]quotalimiter.Account, len(u.Accounts))
 	for o, a := range u.Accounts {
-		accounts[o] = quotalimiter.Account{Total: a.Total, Level: a.Level, NoLevel: a.NoLevel, Asked: a.Asked}
+		accounts[o] = quotalimiter.Account{Total: a.Total, Level: a.Level, NoLevel: a.NoLevel, Asked: a.RequestRate}
 	}
 	return quotalimiter.Update{Host: u.Name, Incarnation: u.Incarnation, Age: u.Age, Daemons: u.Daemons, Silent: u.Silent, Accounts: accounts}
 }
 
 // digestFor is the digest for one daemon: in a large fleet a relay adds the sums that this
 // one needs, and whom it hears.
-func (g *Gateway) digestFor(to swapper.Receiver) *rpc.Digest {
+func (g *Gateway) digestFor(to syncer.Receiver) *rpc.Digest {
 	if !g.large() {
 		d := g.digest()
-		g.aggregator.Own(d, time.Now())
+		g.aggregator.ApplyOwn(d, time.Now())
 		return d
 	}
 	now := time.Now()
@@ -119,14 +119,14 @@
 		Suspects: own.Suspects, Rollouts: g.rolloutNews(), OrdersKnown: own.OrdersKnown, Limits: own.Limits, Rests: own.Rests,
 	}
 	near := to.Zone == "" || to.Zone == g.c.Deployment.AvailabilityZone
-	if near || to.Pairs {
+	if near || to.FullMesh {
 		out.Counts, out.Charges, out.Demands, out.Loads = own.Counts, own.Charges, own.Demands, own.Loads
 		out.Trials = own.Trials
 	}
-	out.RosterKnown = g.roster.Known(to.Address)
-	for _, zone := range g.roster.Message(g.named(own, near), own.Relaying, g.member(own), now) {
+	out.RosterKnown = g.roster.KnownHashes(to.Address)
+	for _, zone := range g.roster.ZoneRosters(g.named(own, near), own.Relaying, g.member(own), now) {
 		out.RosterHashes = append(out.RosterHashes, zone.GetHash())
-		if !slices.Contains(to.RosterKnown, zone.GetHash()) {
+		if !slices.Contains(to.KnownRosterHashes, zone.GetHash()) {
 			out.Roster = append(out.Roster, zone)
 		}
 	}
@@ -137,9 +137,9 @@
 	case to.Host == "":
 		// Which sum it needs is not known.
 	case !near:
-		out.Summary = g.aggregator.Zone(now)
+		out.Summary = g.aggregator.ZoneSum(now)
 	case !to.Relaying:
-		out.Summary = g.aggregator.Rest(to.Host, now)
+		out.Summary = g.aggregator.FleetSumExcept(to.Host, now)
 		out.Summary.Speeds = g.speeds(now)
 	}
 	if to.HoldsDuties {
@@ -170,7 +170,7 @@
 	defer g.ownMu.Unlock()
 	if g.own == nil || now.Sub(g.ownAt) >= ownAge {
 		g.own, g.ownAt = g.digest(), now
-		g.aggregator.Own(g.own, now)
+		g.aggregator.ApplyOwn(g.own, now)
 	}
 	return g.own
 }
--- a/internal/route/candidate/candidate.go
+++ b/internal/route/candidate/candidate.go
@@ -27,34 +27,34 @@
 	// Leaving: no new work. Out: ejected, or not yet probed back; see
 	// EjectedUntil.
 	Leaving bool
-	Out     bool
+	Unavailable     bool
 	// Silent: its streams, or those of its whole zone, have brought nothing lately.
 	Silent bool
-	// Resting: it wants nothing from this daemon now; see RestsUntil.
-	Resting bool
-	// Spared: it wants rest from other daemons; see SparedUntil.
-	Spared bool
+	// BackingOff: it wants nothing from this daemon now; see RestsUntil.
+	BackingOff bool
+	// PeerBackingOff: it wants rest from other daemons; see SparedUntil.
+	PeerBackingOff bool
 	// Limited: it has said how much it takes, and takes nothing more from this daemon now.
 	Limited bool
-	// Suspect: failed last, and gets one request at a time.
-	Suspect bool
+	// OnProbation: failed last, and gets one request at a time.
+	OnProbation bool
 	// Reported: there has been a report in this life of the host; without one
 	// the model is not known.
 	Reported bool
-	// Fresh: the report is young enough to be believed.
-	Fresh bool
+	// ReportFresh: the report is young enough to be believed.
+	ReportFresh bool
 	// InFlight counts this daemon's requests.
 	InFlight int32
-	// Ahead estimates the prompt tokens that the endpoint reads before a new
+	// TokensAhead estimates the prompt tokens that the endpoint reads before a new
 	// request's, Streams the streams that it runs: see Refresh.
-	Ahead   float64
+	TokensAhead   float64
 	Streams float64
-	// Busy is the part of its reading time that the endpoint is taken to spend
+	// PrefillUtilisation is the part of its reading time that the endpoint is taken to spend
 	// on all daemons' prompts, where that is known: see Others.
-	Busy float64
-	// Slow is how many times longer than predicted first tokens took of late;
+	PrefillUtilisation float64
+	// Slowdown is how many times longer than predicted first tokens took of late;
 	// 0 counts as 1.
-	Slow float64
+	Slowdown float64
 	// PricePerSecond is that of the host.
 	PricePerSecond float64
 	// Hash is that of the endpoint's name, to break ties by.
@@ -74,8 +74,8 @@
 	// the same at all daemons.
 	Version     identifier.Version
 	VersionRank int32
-	// Warm is when it is not slow any more after its start.
-	Warm time.Time
+	// WarmAt is when it is not slow any more after its start.
+	WarmAt time.Time
 
 	// Deadline is when a leaving host goes; zero if not known.
 	Deadline time.Time
@@ -83,19 +83,19 @@
 	// failures without a success between them.
 	EjectedUntil time.Time
 	Failures     int
-	// RestsUntil is when the endpoint takes requests again, as it said.
-	RestsUntil time.Time
-	// SparedUntil is when it takes those of other daemons again, as they told.
-	SparedUntil time.Time
+	// BackoffUntil is when the endpoint takes requests again, as it said.
+	BackoffUntil time.Time
+	// PeerBackoffUntil is when it takes those of other daemons again, as they told.
+	PeerBackoffUntil time.Time
 
 	// Running, Queued and QueuedTokens are as reported at Taken, by this
 	// daemon's clock; they say nothing once a report is stale.
 	Running      int
 	Queued       int
 	QueuedTokens identifier.Tokens
-	Taken        time.Time
-	// Pulse is when it last said something.
-	Pulse *Pulse
+	ReportedAt        time.Time
+	// Activity is when it last said something.
+	Activity *Activity
 	// observed is when Slow was last brought up to date.
 	observed time.Time
 	// sends are this daemon's requests since Taken, oldest first.
@@ -112,17 +112,17 @@
 	// yet.
 	unread float64
 	// others is what the other daemons say they send here, if known.
-	others Others
+	others SentLoad
 	known  bool
 }
 
-// Others is what the other daemons of the fleet send to one endpoint.
-type Others struct {
+// SentLoad is what the other daemons of the fleet send to one endpoint.
+type SentLoad struct {
 	// TokensPerSecond are uncached prompt tokens, Running requests, Unread the uncached
 	// prompt tokens of those that have brought no event yet.
 	TokensPerSecond float64
 	Running         int
-	Unread          float64
+	PendingPrefill          float64
 }
 
 type send struct {
@@ -144,21 +144,21 @@
 	mostBusy = 0.95
 )
 
-// Pace is what the estimates need to know besides the candidate.
-type Pace struct {
-	// Drain is the number of prompt tokens that an endpoint reads in a second,
+// LoadParameters is what the estimates need to know besides the candidate.
+type LoadParameters struct {
+	// PrefillRate is the number of prompt tokens that an endpoint reads in a second,
 	// Writing the seconds that a stream lasts.
-	Drain   float64
-	Writing float64
-	// Usual is the uncached part of a usual prompt, in tokens: what a new one waits for
+	PrefillRate   float64
+	StreamSeconds float64
+	// MeanUncachedTokens is the uncached part of a usual prompt, in tokens: what a new one waits for
 	// when it finds the endpoint reading.
-	Usual float64
-	// Others counts the other daemons.
-	Others float64
+	MeanUncachedTokens float64
+	// OtherDaemons counts the other daemons.
+	OtherDaemons float64
 }
 
-// Sent counts a request with its uncached prompt tokens.
-func (c *Candidate) Sent(at time.Time, tokens identifier.Tokens) {
+// RecordSent counts a request with its uncached prompt tokens.
+func (c *Candidate) RecordSent(at time.Time, tokens identifier.Tokens) {
 	if len(c.sends) == maxSends {
 		c.sends = append(c.sends[:0], c.sends[1:]...)
 	}
@@ -166,15 +166,15 @@
 	c.decay(at)
 	c.tokenRate += float64(tokens) / rateTime.Seconds()
 	c.rate += 1 / rateTime.Seconds()
-	c.Ahead += float64(tokens)
+	c.TokensAhead += float64(tokens)
 	c.unread += float64(tokens)
 	c.Streams++
-	c.Recent(at)
+	c.RecentTokenRate(at)
 	c.recent += float64(tokens) / recentTime.Seconds()
 }
 
-// Withdraw takes back a request that was counted as sent and is not.
-func (c *Candidate) Withdraw(tokens identifier.Tokens) {
+// UndoSent takes back a request that was counted as sent and is not.
+func (c *Candidate) UndoSent(tokens identifier.Tokens) {
 	c.recent = max(c.recent-float64(tokens)/recentTime.Seconds(), 0)
 	c.tokenRate = max(c.tokenRate-float64(tokens)/rateTime.Seconds(), 0)
 	c.rate = max(c.rate-1/rateTime.Seconds(), 0)
@@ -183,36 +183,36 @@
 	}
 }
 
-// Recent returns the uncached prompt tokens that this daemon sends here in a
+// RecentTokenRate returns the uncached prompt tokens that this daemon sends here in a
 // second, of late.
-func (c *Candidate) Recent(now time.Time) float64 {
+func (c *Candidate) RecentTokenRate(now time.Time) float64 {
 	c.recent *= math.Exp(-now.Sub(c.recently).Seconds() / recentTime.Seconds())
 	c.recently = now
 	return c.recent
 }
 
-// Learn takes in what the other daemons send here. From then on their load is
+// SetPeerLoad takes in what the other daemons send here. From then on their load is
 // no longer guessed from the own.
-func (c *Candidate) Learn(o Others) { c.others, c.known = o, true }
+func (c *Candidate) SetPeerLoad(o SentLoad) { c.others, c.known = o, true }
 
 // fleet estimates the load from what all daemons say they send: the wait of a
 // queue that is served at the endpoint's pace.
-func (c *Candidate) fleet(now time.Time, p Pace) {
-	rate := c.others.TokensPerSecond + c.Recent(now)
-	c.Busy = min(rate*max(c.Slow, 1)/max(p.Drain, 1), mostBusy)
-	c.Ahead = max(p.Usual*c.Busy/(1-c.Busy), c.others.Unread) + c.Unread()
+func (c *Candidate) fleet(now time.Time, p LoadParameters) {
+	rate := c.others.TokensPerSecond + c.RecentTokenRate(now)
+	c.PrefillUtilisation = min(rate*max(c.Slowdown, 1)/max(p.PrefillRate, 1), mostBusy)
+	c.TokensAhead = max(p.MeanUncachedTokens*c.PrefillUtilisation/(1-c.PrefillUtilisation), c.others.PendingPrefill) + c.PendingPrefill()
 	c.Streams = float64(c.others.Running) + float64(c.InFlight)
 }
 
-// Read takes off a request's prompt tokens: it has brought its first event, or ended.
+// PrefillDone takes off a request's prompt tokens: it has brought its first event, or ended.
 //
 // What is not yet read is the queue as it is. A prompt of fifty thousand tokens takes an
 // engine half a second, and as part of a rate alone it was forgotten after a twentieth
 // of one; and where engines are overloaded, rates say nothing of how long the queue is.
-func (c *Candidate) Read(tokens identifier.Tokens) { c.unread -= float64(tokens) }
+func (c *Candidate) PrefillDone(tokens identifier.Tokens) { c.unread -= float64(tokens) }
 
-// Unread returns the prompt tokens of this daemon's requests that have brought no event.
-func (c *Candidate) Unread() float64 { return max(c.unread, 0) }
+// PendingPrefill returns the prompt tokens of this daemon's requests that have brought no event.
+func (c *Candidate) PendingPrefill() float64 { return max(c.unread, 0) }
 
 func (c *Candidate) decay(now time.Time) {
 	part := math.Exp(-now.Sub(c.rated).Seconds() / rateTime.Seconds())
@@ -226,13 +226,13 @@
 // its way is not in it. The other daemons are taken to send what this one
 // sends on average: to multiply its single requests would turn each into a
 // crowd. In between the endpoint reads at its pace.
-func (c *Candidate) estimate(now time.Time, p Pace) {
-	from := c.Taken
+func (c *Candidate) estimate(now time.Time, p LoadParameters) {
+	from := c.ReportedAt
 	backlog := float64(c.QueuedTokens)
 	if backlog == 0 {
 		backlog = float64(c.Queued * promptGuess)
 	}
-	if !c.Fresh {
+	if !c.ReportFresh {
 		from, backlog = now.Add(-staleAfter), 0
 	}
 	n := 0
@@ -241,27 +241,27 @@
 	}
 	c.sends = append(c.sends[:0], c.sends[n:]...)
 	c.decay(now)
-	net := p.Drain/max(c.Slow, 1) - p.Others*c.tokenRate
+	net := p.PrefillRate/max(c.Slowdown, 1) - p.OtherDaemons*c.tokenRate
 	last := from
 	for i := range c.sends {
 		backlog = max(backlog-net*c.sends[i].at.Sub(last).Seconds(), 0) + float64(c.sends[i].tokens)
 		last = c.sends[i].at
 	}
-	c.Ahead = max(backlog-net*now.Sub(last).Seconds(), 0)
+	c.TokensAhead = max(backlog-net*now.Sub(last).Seconds(), 0)
 	c.Streams = c.streams(now, p)
 }
 
-func (c *Candidate) streams(now time.Time, p Pace) float64 {
+func (c *Candidate) streams(now time.Time, p LoadParameters) float64 {
 	own := float64(c.InFlight)
-	if !c.Fresh {
-		return own * (1 + p.Others)
+	if !c.ReportFresh {
+		return own * (1 + p.OtherDaemons)
 	}
-	age := now.Sub(c.Taken).Seconds()
+	age := now.Sub(c.ReportedAt).Seconds()
 	left := 1.0
-	if p.Writing > 0 {
-		left = max(1-age/p.Writing, 0)
+	if p.StreamSeconds > 0 {
+		left = max(1-age/p.StreamSeconds, 0)
 	}
-	came := float64(len(c.sends)) + p.Others*c.rate*min(age, max(p.Writing, 1))
+	came := float64(len(c.sends)) + p.OtherDaemons*c.rate*min(age, max(p.StreamSeconds, 1))
 	return max(float64(c.Running+c.Queued)*left+came, own)
 }
 
@@ -280,36 +280,36 @@
 	slowHalf = 20 * time.Second
 )
 
-// Observe takes in how long a first token took against its prediction.
-func (c *Candidate) Observe(took, predicted time.Duration, now time.Time) {
+// ObserveFirstToken takes in how long a first token took against its prediction.
+func (c *Candidate) ObserveFirstToken(took, predicted time.Duration, now time.Time) {
 	const least = 50 * time.Millisecond
 	ratio := min(float64(took+least)/float64(predicted+least), slowMost)
-	slow := max(c.Slow, 1)
+	slow := max(c.Slowdown, 1)
 	weight := faster
 	if ratio > slow {
 		weight = slower
 	}
-	c.Slow = max(slow+weight*(ratio-slow), 1)
+	c.Slowdown = max(slow+weight*(ratio-slow), 1)
 	c.observed = now
 }
 
 func (c *Candidate) forgive(now time.Time) {
-	if c.Slow <= 1 {
+	if c.Slowdown <= 1 {
 		return
 	}
-	c.Slow = 1 + (c.Slow-1)*math.Exp2(-now.Sub(c.observed).Seconds()/slowHalf.Seconds())
+	c.Slowdown = 1 + (c.Slowdown-1)*math.Exp2(-now.Sub(c.observed).Seconds()/slowHalf.Seconds())
 	c.observed = now
 }
 
 // Refresh sets the fields that depend on the time. Decisions read them many
 // times between two changes, and comparing times for each would cost more
 // than all else.
-func (c *Candidate) Refresh(now time.Time, p Pace) {
-	c.Out = c.Ejected(now) || c.Silent
-	c.Suspect = c.Failures > 0
-	c.Resting = now.Before(c.RestsUntil)
-	c.Spared = now.Before(c.SparedUntil)
-	c.Fresh = now.Sub(c.Taken) <= staleAfter
+func (c *Candidate) Refresh(now time.Time, p LoadParameters) {
+	c.Unavailable = c.Ejected(now) || c.Silent
+	c.OnProbation = c.Failures > 0
+	c.BackingOff = now.Before(c.BackoffUntil)
+	c.PeerBackingOff = now.Before(c.PeerBackoffUntil)
+	c.ReportFresh = now.Sub(c.ReportedAt) <= staleAfter
 	c.forgive(now)
 	if c.known {
 		c.fleet(now, p)
--- a/internal/route/candidate/pulse.go
+++ b/internal/route/candidate/pulse.go
@@ -14,27 +14,27 @@
 // the kernel gave the connections up.
 const silentTime = 400 * time.Millisecond
 
-// Pulse is when an endpoint last said something to this daemon. It is shared by the
+// Activity is when an endpoint last said something to this daemon. It is shared by the
 // requests at the endpoint and safe for concurrent use.
-type Pulse struct {
+type Activity struct {
 	// talking counts the streams that have begun and not ended.
 	talking atomic.Int32
 	heard   atomic.Int64
 }
 
-// Begin notes that a stream begins to bring events.
-func (p *Pulse) Begin() { p.talking.Add(1) }
+// BeginStream notes that a stream begins to bring events.
+func (p *Activity) BeginStream() { p.talking.Add(1) }
 
-// Beat notes that something came.
-func (p *Pulse) Beat(now time.Time) { p.heard.Store(now.UnixNano()) }
+// RecordEvent notes that something came.
+func (p *Activity) RecordEvent(now time.Time) { p.heard.Store(now.UnixNano()) }
 
-// End notes the end of a stream that has begun.
-func (p *Pulse) End() { p.talking.Add(-1) }
+// EndStream notes the end of a stream that has begun.
+func (p *Activity) EndStream() { p.talking.Add(-1) }
 
-// Talks tells whether streams run.
-func (p *Pulse) Talks() bool { return p != nil && p.talking.Load() > 0 }
+// Streaming tells whether streams run.
+func (p *Activity) Streaming() bool { return p != nil && p.talking.Load() > 0 }
 
 // Silent tells whether streams run and none of them has brought anything for too long.
-func (p *Pulse) Silent(now time.Time) bool {
-	return p.Talks() && now.Sub(time.Unix(0, p.heard.Load())) > silentTime
+func (p *Activity) Silent(now time.Time) bool {
+	return p.Streaming() && now.Sub(time.Unix(0, p.heard.Load())) > silentTime
 }
--- a/internal/route/indexer/indexer.go
+++ b/internal/route/indexer/indexer.go
@@ -44,9 +44,9 @@
 	older map[prefix.Block]entry
 }
 
-// Sent records that a request with these blocks was sent to an endpoint, which
+// RecordSent records that a request with these blocks was sent to an endpoint, which
 // will hold them.
-func (x *Indexer) Sent(blocks []prefix.Block, id int32) {
+func (x *Indexer) RecordSent(blocks []prefix.Block, id int32) {
 	for _, b := range blocks {
 		e := x.get(b)
 		e.add(id)
@@ -107,14 +107,14 @@
 	clear(e.holders[n:])
 }
 
-// Own returns the first block that only few requests have had: blocks before
+// ConversationBlock returns the first block that only few requests have had: blocks before
 // it belong to a common preamble, and this one to the conversation. It returns
 // 0 if there is none.
 //
 // To count the endpoints that hold a block would not do: a preamble that
 // decides where its requests go is held at one endpoint only, and would draw
 // all of them there for ever.
-func (x *Indexer) Own(blocks []prefix.Block) prefix.Block {
+func (x *Indexer) ConversationBlock(blocks []prefix.Block) prefix.Block {
 	for _, b := range blocks {
 		if x.get(b).sent < common {
 			return b
--- a/internal/route/evacuator/evacuator.go
+++ b/internal/route/migrator/evacuator.go
@@ -17,7 +17,7 @@
 //	e := evacuator.New(evacuator.Config{Registry: r, Caller: c})
 //	e.Hurry()         // after each change of the registry
 //	err := e.Serve(ctx)
-package evacuator
+package migrator
 
 import (
 	"context"
@@ -54,17 +54,17 @@
 	Caller   Caller
 }
 
-// Evacuator imports caches as hosts leave.
-type Evacuator struct {
+// Migrator imports caches as hosts leave.
+type Migrator struct {
 	c      Config
 	urgent chan struct{}
 }
 
 // New returns an evacuator.
-func New(c Config) *Evacuator { return &Evacuator{c: c, urgent: make(chan struct{}, 1)} }
+func New(c Config) *Migrator { return &Migrator{c: c, urgent: make(chan struct{}, 1)} }
 
-// Hurry makes it look for leaving hosts.
-func (e *Evacuator) Hurry() {
+// Trigger makes it look for leaving hosts.
+func (e *Migrator) Trigger() {
 	select {
 	case e.urgent <- struct{}{}:
 	default:
@@ -72,7 +72,7 @@
 }
 
 // Serve works until ctx ends.
-func (e *Evacuator) Serve(ctx context.Context) error {
+func (e *Migrator) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -86,7 +86,7 @@
 	}
 }
 
-func (e *Evacuator) round(ctx context.Context) {
+func (e *Migrator) round(ctx context.Context) {
 	slots := make(chan struct{}, parallel)
 	var group sync.WaitGroup
 	for _, c := range e.c.Registry.Evacuees() {
--- a/internal/route/poller/poller.go
+++ b/internal/route/poller/poller.go
@@ -22,7 +22,7 @@
 	"brasschute/internal/core/waiter"
 	"brasschute/internal/engine/caller"
 	"brasschute/internal/engine/report"
-	"brasschute/internal/peer/ledger"
+	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/route/candidate"
 	"brasschute/internal/route/registry"
 
@@ -38,7 +38,7 @@
 // Config names the poller's collaborators.
 type Config struct {
 	Registry *registry.Registry
-	Ledger   *ledger.Ledger
+	Ledger   *membertracker.Tracker
 	Caller   *caller.Caller
 	// OnReport is given each report, to pass it on.
 	OnReport func(r *report.Report, taken time.Time)
@@ -91,7 +91,7 @@
 	if err != nil {
 		return
 	}
-	p.c.Registry.Report(r, taken)
+	p.c.Registry.ApplyReport(r, taken)
 	p.c.OnReport(r, taken)
 	if r.Model != "" {
 		p.cache(ctx, c)
@@ -109,7 +109,7 @@
 		return
 	}
 	for i := range e.Events {
-		p.c.Registry.Cached(c.Endpoint, e.Events[i].Block, e.Events[i].Stored)
+		p.c.Registry.ApplyCacheEvent(c.Endpoint, e.Events[i].Block, e.Events[i].Stored)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/route/quarantiner/quarantiner.go
+++ b/internal/route/quarantiner/quarantiner.go
@@ -26,7 +26,7 @@
 // # Sharing
 //
 // Endings are only added, and marked as void; so what daemons tell each other may come late,
-// twice, in any order and by any way ([Quarantiner.Told], [Quarantiner.Hear]).
+// twice, in any order and by any way ([Quarantiner.Updates], [Quarantiner.Merge]).
 //
 // # Bounds
 //
@@ -123,9 +123,9 @@
 // Config describes a quarantiner.
 type Config struct {
 	Host identifier.Host
-	// Changed is told, without the lock, of each request that came to be held or free
+	// OnChange is told, without the lock, of each request that came to be held or free
 	// again; may be nil.
-	Changed func(*Suspect)
+	OnChange func(*Suspect)
 }
 
 // Quarantiner keeps the endings. It is safe for concurrent use.
@@ -152,8 +152,8 @@
 
 // New returns a quarantiner that suspects nothing.
 func New(c Config) *Quarantiner {
-	if c.Changed == nil {
-		c.Changed = func(*Suspect) {}
+	if c.OnChange == nil {
+		c.OnChange = func(*Suspect) {}
 	}
 	return &Quarantiner{
 		c: c, suspects: make(map[identifier.Fingerprint]*suspect), running: make(map[identifier.Fingerprint]map[*attempt]bool),
@@ -180,8 +180,8 @@
 	return v
 }
 
-// Ended adds an ending under a request and reports whether that is news for other daemons.
-func (z *Quarantiner) Ended(f identifier.Fingerprint, e Ending) bool {
+// RecordEnding adds an ending under a request and reports whether that is news for other daemons.
+func (z *Quarantiner) RecordEnding(f identifier.Fingerprint, e Ending) bool {
 	z.mu.Lock()
 	now := time.Now()
 	e.Seen, e.At = z.c.Host, now
@@ -192,9 +192,9 @@
 	return news
 }
 
-// Answered clears a request that an endpoint has run to its end, and reports whether that is
+// RecordAnswer clears a request that an endpoint has run to its end, and reports whether that is
 // news for other daemons.
-func (z *Quarantiner) Answered(f identifier.Fingerprint) bool {
+func (z *Quarantiner) RecordAnswer(f identifier.Fingerprint) bool {
 	z.mu.Lock()
 	z.answered.add(f, time.Now())
 	z.mu.Unlock()
@@ -237,8 +237,8 @@
 	return out
 }
 
-// Forgotten counts the suspects that were dropped for lack of room.
-func (z *Quarantiner) Forgotten() int {
+// EvictedCount counts the suspects that were dropped for lack of room.
+func (z *Quarantiner) EvictedCount() int {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return z.forgotten
@@ -247,7 +247,7 @@
 // tell passes on a change, if there is one, without the lock.
 func (z *Quarantiner) tell(changed *Suspect) {
 	if changed != nil {
-		z.c.Changed(changed)
+		z.c.OnChange(changed)
 	}
 }
 
--- a/internal/route/quarantiner/quarantiner_test.go
+++ b/internal/route/quarantiner/quarantiner_test.go
@@ -31,58 +31,58 @@
 		do   func(z *Quarantiner)
 		held bool
 	}{
-		{"one ending", func(z *Quarantiner) { z.Ended(fatal, ending(1)) }, false},
-		{"two endings", func(z *Quarantiner) { z.Ended(fatal, ending(1)); z.Ended(fatal, ending(2)) }, true},
-		{"one ending seen twice", func(z *Quarantiner) { z.Ended(fatal, ending(1)); z.Ended(fatal, ending(1)) }, false},
+		{"one ending", func(z *Quarantiner) { z.RecordEnding(fatal, ending(1)) }, false},
+		{"two endings", func(z *Quarantiner) { z.RecordEnding(fatal, ending(1)); z.RecordEnding(fatal, ending(2)) }, true},
+		{"one ending seen twice", func(z *Quarantiner) { z.RecordEnding(fatal, ending(1)); z.RecordEnding(fatal, ending(1)) }, false},
 		{"two lives of one endpoint", func(z *Quarantiner) {
-			z.Ended(fatal, Ending{Endpoint: "i-1", Born: 1})
-			z.Ended(fatal, Ending{Endpoint: "i-1", Born: 2})
+			z.RecordEnding(fatal, Ending{Endpoint: "i-1", Born: 1})
+			z.RecordEnding(fatal, Ending{Endpoint: "i-1", Born: 2})
 		}, true},
-		{"two endings after events", func(z *Quarantiner) { z.Ended(fatal, weakly(1)); z.Ended(fatal, weakly(2)) }, false},
+		{"two endings after events", func(z *Quarantiner) { z.RecordEnding(fatal, weakly(1)); z.RecordEnding(fatal, weakly(2)) }, false},
 		{"four endings after events", func(z *Quarantiner) {
 			for n := range 4 {
-				z.Ended(fatal, weakly(n))
+				z.RecordEnding(fatal, weakly(n))
 			}
 		}, true},
 		{"an answer between two endings", func(z *Quarantiner) {
-			z.Ended(fatal, ending(1))
-			z.Answered(fatal)
-			z.Ended(fatal, ending(2))
+			z.RecordEnding(fatal, ending(1))
+			z.RecordAnswer(fatal)
+			z.RecordEnding(fatal, ending(2))
 		}, false},
 		{"an answer after two endings", func(z *Quarantiner) {
-			z.Ended(fatal, ending(1))
-			z.Ended(fatal, ending(2))
-			z.Answered(fatal)
+			z.RecordEnding(fatal, ending(1))
+			z.RecordEnding(fatal, ending(2))
+			z.RecordAnswer(fatal)
 		}, false},
 		{"answered shortly before two endings", func(z *Quarantiner) {
-			z.Answered(fatal)
-			z.Ended(fatal, ending(1))
-			z.Ended(fatal, ending(2))
+			z.RecordAnswer(fatal)
+			z.RecordEnding(fatal, ending(1))
+			z.RecordEnding(fatal, ending(2))
 		}, false},
 		{"answered long before", func(z *Quarantiner) {
-			z.Answered(fatal)
+			z.RecordAnswer(fatal)
 			time.Sleep(3 * generationTime)
-			z.Ended(fatal, ending(1))
-			z.Ended(fatal, ending(2))
+			z.RecordEnding(fatal, ending(1))
+			z.RecordEnding(fatal, ending(2))
 		}, true},
-		{"lifted", func(z *Quarantiner) { z.Ended(fatal, ending(1)); z.Ended(fatal, ending(2)); z.Lift(fatal) }, false},
+		{"lifted", func(z *Quarantiner) { z.RecordEnding(fatal, ending(1)); z.RecordEnding(fatal, ending(2)); z.Lift(fatal) }, false},
 		{"lifted, and two further endings", func(z *Quarantiner) {
-			z.Ended(fatal, ending(1))
-			z.Ended(fatal, ending(2))
+			z.RecordEnding(fatal, ending(1))
+			z.RecordEnding(fatal, ending(2))
 			z.Lift(fatal)
-			z.Ended(fatal, ending(3))
-			z.Ended(fatal, ending(4))
+			z.RecordEnding(fatal, ending(3))
+			z.RecordEnding(fatal, ending(4))
 		}, true},
 		{"the first ending long ago", func(z *Quarantiner) {
-			z.Ended(fatal, ending(1))
+			z.RecordEnding(fatal, ending(1))
 			time.Sleep(suspectTime + time.Second)
-			z.Ended(fatal, ending(2))
+			z.RecordEnding(fatal, ending(2))
 		}, false},
 		{"the second ending explained by a held request", func(z *Quarantiner) {
-			z.Ended("other", ending(1))
-			z.Ended(fatal, ending(2))
-			z.Ended("other", ending(2))
-			z.Ended(fatal, ending(3))
+			z.RecordEnding("other", ending(1))
+			z.RecordEnding(fatal, ending(2))
+			z.RecordEnding("other", ending(2))
+			z.RecordEnding(fatal, ending(3))
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -100,10 +100,10 @@
 // is let through, by the daemon that saw the last ending and no other.
 func TestHeldRequestIsTriedAgain(t *testing.T) {
 	inBubble(t, func(t *testing.T, z *Quarantiner) {
-		z.Ended(fatal, ending(1))
-		z.Ended(fatal, ending(2))
+		z.RecordEnding(fatal, ending(1))
+		z.RecordEnding(fatal, ending(2))
 		other := New(Config{Host: "b"})
-		other.Hear(z.Told())
+		other.Merge(z.Updates())
 		time.Sleep(firstPause)
 		if v := other.Admit(fatal, "x"); !v.Held || v.Trial {
 			t.Errorf("the other daemon: %+v", v)
@@ -117,7 +117,7 @@
 		if v := z.Admit(fatal, "y"); !v.Held {
 			t.Errorf("a second arrival beside it: %+v", v)
 		}
-		z.Ended(fatal, ending(3))
+		z.RecordEnding(fatal, ending(3))
 		time.Sleep(firstPause)
 		if v := z.Admit(fatal, "x"); !v.Held {
 			t.Errorf("the trial that failed goes on: %+v", v)
@@ -126,8 +126,8 @@
 		if v := z.Admit(fatal, "z"); !v.Trial {
 			t.Errorf("no trial after ten times the pause: %+v", v)
 		}
-		z.Answered(fatal)
-		other.Hear(z.Told())
+		z.RecordAnswer(fatal)
+		other.Merge(z.Updates())
 		for host, one := range map[string]*Quarantiner{"a": z, "b": other} {
 			if held(one, fatal) {
 				t.Errorf("%s holds it after the answer", host)
@@ -143,9 +143,9 @@
 		var withdrawn [2]bool
 		z.Track(fatal, func() { withdrawn[0] = true })
 		leave := z.Track(fatal, func() { withdrawn[1] = true })
-		z.Ended(fatal, ending(1))
+		z.RecordEnding(fatal, ending(1))
 		leave()
-		z.Ended(fatal, ending(2))
+		z.RecordEnding(fatal, ending(2))
 		synctest.Wait()
 		if withdrawn != [2]bool{true, false} {
 			t.Errorf("withdrawn: %v", withdrawn)
@@ -156,11 +156,11 @@
 // Somebody sends a thousand bodies that end an endpoint each, to push out what is held.
 func TestHeldRequestsOutliveAFlood(t *testing.T) {
 	inBubble(t, func(t *testing.T, z *Quarantiner) {
-		z.Ended(fatal, ending(1))
-		z.Ended(fatal, ending(2))
+		z.RecordEnding(fatal, ending(1))
+		z.RecordEnding(fatal, ending(2))
 		for n := range 2 * maxSuspects {
 			time.Sleep(time.Millisecond)
-			z.Ended(identifier.Fingerprint(fmt.Sprint(n)), ending(n+10))
+			z.RecordEnding(identifier.Fingerprint(fmt.Sprint(n)), ending(n+10))
 		}
 		if !held(z, fatal) {
 			t.Error("the held request was forgotten")
@@ -168,10 +168,10 @@
 		if n := len(z.List()); n != maxSuspects {
 			t.Errorf("%d suspects", n)
 		}
-		if n := z.Forgotten(); n != maxSuspects+1 {
+		if n := z.EvictedCount(); n != maxSuspects+1 {
 			t.Errorf("%d forgotten", n)
 		}
-		if n := len(z.Told()); n != maxTold || !z.Told()[0].Held {
+		if n := len(z.Updates()); n != maxTold || !z.Updates()[0].Held {
 			t.Errorf("%d told", n)
 		}
 	})
@@ -179,15 +179,15 @@
 
 func TestHeldRequestsLapse(t *testing.T) {
 	inBubble(t, func(t *testing.T, z *Quarantiner) {
-		z.Ended(fatal, ending(1))
-		z.Ended(fatal, ending(2))
-		old := z.Told()
+		z.RecordEnding(fatal, ending(1))
+		z.RecordEnding(fatal, ending(2))
+		old := z.Updates()
 		time.Sleep(heldTime + time.Second)
-		z.Ended("other", ending(3))
+		z.RecordEnding("other", ending(3))
 		if held(z, fatal) || len(z.List()) != 1 {
 			t.Errorf("after %v: %+v", heldTime, z.List())
 		}
-		if z.Hear(old) {
+		if z.Merge(old) {
 			t.Error("what has lapsed is news")
 		}
 	})
@@ -211,21 +211,21 @@
 			case 0, 1:
 				e := ending(rapid.IntRange(0, 9).Draw(t, "endpoint"))
 				e.Weak = rapid.Bool().Draw(t, "weak")
-				d.Ended(f, e)
+				d.RecordEnding(f, e)
 			case 2:
-				d.Answered(f)
+				d.RecordAnswer(f)
 			case 3, 4, 5:
-				letters = append(letters, d.Told())
+				letters = append(letters, d.Updates())
 			default:
 				if len(letters) > 0 {
-					d.Hear(letters[rapid.IntRange(0, len(letters)-1).Draw(t, "letter")])
+					d.Merge(letters[rapid.IntRange(0, len(letters)-1).Draw(t, "letter")])
 				}
 			}
 		}
 		for range daemons {
 			for _, from := range list {
 				for _, to := range list {
-					to.Hear(from.List())
+					to.Merge(from.List())
 				}
 			}
 		}
--- a/internal/route/quarantiner/sharing.go
+++ b/internal/route/quarantiner/sharing.go
@@ -11,9 +11,9 @@
 	toldTime = time.Minute
 )
 
-// Told returns what other daemons should know, held requests first. In a calm fleet it is
+// Updates returns what other daemons should know, held requests first. In a calm fleet it is
 // nothing.
-func (z *Quarantiner) Told() []Suspect {
+func (z *Quarantiner) Updates() []Suspect {
 	now := time.Now()
 	var out []Suspect
 	for _, s := range z.List() {
@@ -33,8 +33,8 @@
 	return len(s.Endings) == 1 && s.Endings[0].Weak && !s.Endings[0].Void
 }
 
-// Hear takes in what another daemon knows, and reports whether any of it was news.
-func (z *Quarantiner) Hear(told []Suspect) bool {
+// Merge takes in what another daemon knows, and reports whether any of it was news.
+func (z *Quarantiner) Merge(told []Suspect) bool {
 	now := time.Now()
 	news := false
 	for _, s := range told {
--- a/internal/route/registry/choice.go
+++ b/internal/route/registry/choice.go
@@ -30,18 +30,18 @@
 		d.Excluded.NotFound++
 		return nil, d
 	}
-	if q.Select.Versions.Usual && len(p.versions) > 1 {
+	if q.Select.Versions.MajorityOnly && len(p.versions) > 1 {
 		q.Select.Versions.Only = p.usualVersion
 	}
 	r.match(p, q)
-	p.pace = candidate.Pace{
-		Usual: p.usual, Drain: float64(q.Select.Prefill), Others: float64(r.c.Daemons() - 1),
-		Writing: float64(q.Select.OutputTokens) / float64(max(q.Select.Decode, 1)),
+	p.pace = candidate.LoadParameters{
+		MeanUncachedTokens: p.usual, PrefillRate: float64(q.Select.PrefillRate), OtherDaemons: float64(r.c.Daemons() - 1),
+		StreamSeconds: float64(q.Select.OutputTokens) / float64(max(q.Select.DecodeRate, 1)),
 	}
 	p.refresh(q.Select.Now)
 	r.limit(p, q.Select.Now)
 	if q.Select.Prefix == 0 {
-		q.Select.Prefix = uint64(r.indexer.Own(q.Blocks))
+		q.Select.Prefix = uint64(r.indexer.ConversationBlock(q.Blocks))
 	}
 	d := r.c.Select(&q.Select, p.candidates, p.cached, p.scratch)
 	if d.Index == selector.None {
@@ -49,18 +49,18 @@
 	}
 	c := &p.candidates[d.Index]
 	uncached := q.Select.PromptTokens - d.Chosen.Cached
-	ahead, streams := c.Ahead, c.Streams
+	ahead, streams := c.TokensAhead, c.Streams
 	c.InFlight++
-	turn := p.limited && r.c.Pacer.Take(life(c), q.Select.Now)
-	c.Sent(q.Select.Now, uncached)
+	turn := p.limited && r.c.RateLimiter.Take(life(c), q.Select.Now)
+	c.RecordSent(q.Select.Now, uncached)
 	p.usual += usualWeight * (float64(uncached) - p.usual)
 	id := r.id(c)
-	r.indexer.Sent(q.Blocks, id)
+	r.indexer.RecordSent(q.Blocks, id)
 	r.remember(q, c)
 	return &Pick{
 		Endpoint: c.Endpoint, Host: c.Host, Incarnation: c.Incarnation, Born: c.Born, Address: c.Address, Pool: c.Pool,
-		Version: c.Version, Cold: q.Select.Now.Before(c.Warm),
-		PricePerSecond: c.PricePerSecond, Predicted: d.Chosen.FirstToken, Usual: time.Duration(float64(d.Chosen.FirstToken) / max(c.Slow, 1)), Uncached: uncached, Ahead: ahead, Streams: streams, Pulse: c.Pulse, id: id, turn: turn,
+		Version: c.Version, Cold: q.Select.Now.Before(c.WarmAt),
+		PricePerSecond: c.PricePerSecond, PredictedFirstToken: d.Chosen.FirstToken, NominalFirstToken: time.Duration(float64(d.Chosen.FirstToken) / max(c.Slowdown, 1)), UncachedTokens: uncached, TokensAhead: ahead, Streams: streams, Activity: c.Activity, id: id, turn: turn,
 	}, d
 }
 
@@ -94,16 +94,16 @@
 	return identifier.Tokens(n * prefix.BlockTokens)
 }
 
-// Take counts a request on a named endpoint, as a resumption needs that goes
+// PickEndpoint counts a request on a named endpoint, as a resumption needs that goes
 // back to where its stream runs; nil if the endpoint is not listed.
-func (r *Registry) Take(e identifier.Endpoint) *Pick {
+func (r *Registry) PickEndpoint(e identifier.Endpoint) *Pick {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var k *Pick
 	r.each(func(c *candidate.Candidate) {
 		if c.Endpoint == e {
 			c.InFlight++
-			k = &Pick{Endpoint: e, Host: c.Host, Incarnation: c.Incarnation, Born: c.Born, Address: c.Address, Pool: c.Pool, PricePerSecond: c.PricePerSecond, Pulse: c.Pulse, id: r.id(c)}
+			k = &Pick{Endpoint: e, Host: c.Host, Incarnation: c.Incarnation, Born: c.Born, Address: c.Address, Pool: c.Pool, PricePerSecond: c.PricePerSecond, Activity: c.Activity, id: r.id(c)}
 		}
 	})
 	return k
--- a/internal/route/registry/conversation.go
+++ b/internal/route/registry/conversation.go
@@ -12,8 +12,8 @@
 // Conversation is what this daemon knows of where a conversation's cache is.
 type Conversation struct {
 	Prefix uint64
-	// Premium is that of the configuration; see selector.Premium.
-	Premium  float64
+	// PricePremium is that of the configuration; see selector.PricePremium.
+	PricePremium  float64
 	Pool     identifier.Pool
 	Endpoint identifier.Endpoint
 	Host     identifier.Host
@@ -21,7 +21,7 @@
 	Incarnation identifier.Incarnation
 	Address     string
 	Blocks      []prefix.Block
-	Last        time.Time
+	LastTurn        time.Time
 }
 
 // remember notes where a conversation's newest turn went. The caller holds
@@ -37,14 +37,14 @@
 		return
 	}
 	r.conversations[q.Select.Prefix] = &Conversation{
-		Prefix: q.Select.Prefix, Premium: selector.Premium(q.Select.RecomputeWeight), Pool: q.Pool, Endpoint: c.Endpoint, Host: c.Host, Incarnation: c.Incarnation, Address: c.Address,
-		Blocks: q.Blocks, Last: q.Select.Now,
+		Prefix: q.Select.Prefix, PricePremium: selector.HomePricePremium(q.Select.RecomputeWeight), Pool: q.Pool, Endpoint: c.Endpoint, Host: c.Host, Incarnation: c.Incarnation, Address: c.Address,
+		Blocks: q.Blocks, LastTurn: q.Select.Now,
 	}
 }
 
 func (r *Registry) forget(now time.Time) {
 	for prefix, c := range r.conversations {
-		if now.Sub(c.Last) > conversationAge {
+		if now.Sub(c.LastTurn) > conversationAge {
 			delete(r.conversations, prefix)
 		}
 	}
@@ -85,7 +85,7 @@
 	if p == nil {
 		return ""
 	}
-	i := selector.Home(c.Prefix, c.Premium, p.candidates)
+	i := selector.HomeIndex(c.Prefix, c.PricePremium, p.candidates)
 	if i == selector.None {
 		return ""
 	}
--- a/internal/route/registry/health.go
+++ b/internal/route/registry/health.go
@@ -34,15 +34,15 @@
 	r.mu.Unlock()
 }
 
-// Withdraw ends a pick whose request is not sent.
-func (r *Registry) Withdraw(k *Pick) {
+// Cancel ends a pick whose request is not sent.
+func (r *Registry) Cancel(k *Pick) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.giveBack(k)
 	if c := r.find(k); c != nil {
 		k.readAt(c)
 		c.InFlight--
-		c.Withdraw(k.Uncached)
+		c.UndoSent(k.UncachedTokens)
 		c.Refresh(time.Now(), r.pools[c.Pool].pace)
 	}
 }
--- a/internal/route/registry/life_test.go
+++ b/internal/route/registry/life_test.go
@@ -19,7 +19,7 @@
 func talk(r *Registry) (*Pick, identifier.Tokens) {
 	pick, d := r.Choose(&Query{
 		Pool: "p", Blocks: blocks, Sizes: []identifier.Tokens{1000, 2000, 3000},
-		Select: selector.Query{Now: time.Now(), MaxInFlight: 100, PromptTokens: 4000, Prefill: 40000, Decode: 100, RecomputeWeight: 1, Prefix: 13},
+		Select: selector.Query{Now: time.Now(), MaxInFlight: 100, PromptTokens: 4000, PrefillRate: 40000, DecodeRate: 100, RecomputeWeight: 1, Prefix: 13},
 	})
 	return pick, d.Chosen.Cached
 }
@@ -31,20 +31,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t, "h")
 		pick, _ := talk(r)
-		r.Observe(pick, 10*time.Second)
+		r.ObserveFirstToken(pick, 10*time.Second)
 		_, cached := talk(r)
 		if cached != 3000 {
 			t.Fatalf("%d tokens are presumed cached", cached)
 		}
 		for range ejectAfter {
-			r.Release(r.Take("on-h"), Failed)
+			r.Release(r.PickEndpoint("on-h"), Failed)
 		}
-		r.Learn(map[identifier.Endpoint]candidate.Others{"on-h": {TokensPerSecond: 1e6, Running: 50, Unread: 1e6}})
+		r.SetPeerLoads(map[identifier.Endpoint]candidate.SentLoad{"on-h": {TokensPerSecond: 1e6, Running: 50, PendingPrefill: 1e6}})
 		r.MarkLeaving("h", 1, time.Time{})
 
 		list(t, r, "h", 2, inventory.StateLive)
 		e := r.Endpoints()[0]
-		if e.Leaving || e.Failures > 0 || e.Ejected(time.Now()) || e.InFlight > 0 || e.Slow > 0 || e.Ahead > 0 || e.Streams > 0 || e.Unread() > 0 {
+		if e.Leaving || e.Failures > 0 || e.Ejected(time.Now()) || e.InFlight > 0 || e.Slowdown > 0 || e.TokensAhead > 0 || e.Streams > 0 || e.PendingPrefill() > 0 {
 			t.Errorf("the new life begins with what was known of the earlier one: %+v", e)
 		}
 		if r.Usable(pick) {
@@ -55,9 +55,9 @@
 			t.Fatalf("pick %v, %d tokens are presumed cached", after, cached)
 		}
 		// What the earlier life still answers is late news.
-		r.Observe(pick, 10*time.Second)
+		r.ObserveFirstToken(pick, 10*time.Second)
 		r.Release(pick, Failed)
-		if e := r.Endpoints()[0]; e.InFlight != 1 || e.Failures > 0 || e.Slow > 1 {
+		if e := r.Endpoints()[0]; e.InFlight != 1 || e.Failures > 0 || e.Slowdown > 1 {
 			t.Errorf("a late answer counts for the new life: %+v", e)
 		}
 	})
@@ -68,7 +68,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t, "h")
 		talk(r)
-		r.Put(map[string]*inventory.Host{inventory.HostPrefix + "z/h": nil})
+		r.UpdateHosts(map[string]*inventory.Host{inventory.HostPrefix + "z/h": nil})
 		list(t, r, "h", 1, inventory.StateLive)
 		if _, cached := talk(r); cached != 3000 {
 			t.Errorf("%d tokens are presumed cached, 3000 are", cached)
@@ -103,10 +103,10 @@
 			}
 			listed[name] = h
 		}
-		r.Put(listed)
+		r.UpdateHosts(listed)
 		all := r.Endpoints()
 		for i := range out {
-			out[i] = all[selector.Home(uint64(i+1), 0, all)].Endpoint
+			out[i] = all[selector.HomeIndex(uint64(i+1), 0, all)].Endpoint
 		}
 		return out
 	}
--- a/internal/route/registry/limit.go
+++ b/internal/route/registry/limit.go
@@ -11,46 +11,46 @@
 // life names the present life of an endpoint as other daemons know it.
 func life(c *candidate.Candidate) pacer.Incarnation { return pacer.Incarnation{Endpoint: c.Endpoint, Born: c.Born} }
 
-// Life names the life of an endpoint that was chosen, as other daemons know it.
-func (k *Pick) Life() pacer.Incarnation { return pacer.Incarnation{Endpoint: k.Endpoint, Born: k.Born} }
+// EndpointIncarnation names the life of an endpoint that was chosen, as other daemons know it.
+func (k *Pick) EndpointIncarnation() pacer.Incarnation { return pacer.Incarnation{Endpoint: k.Endpoint, Born: k.Born} }
 
 // limit marks the candidates that take nothing more from this daemon now. The caller holds
 // the lock.
 func (r *Registry) limit(p *pool, now time.Time) {
-	limited := r.c.Pacer != nil && r.c.Pacer.HasLimits()
+	limited := r.c.RateLimiter != nil && r.c.RateLimiter.HasLimits()
 	if !limited && !p.limited {
 		return
 	}
 	for i := range p.candidates {
 		c := &p.candidates[i]
-		c.Limited = limited && !r.c.Pacer.Ready(life(c), now)
+		c.Limited = limited && !r.c.RateLimiter.Ready(life(c), now)
 	}
 	p.limited = limited
 }
 
-// Due takes the turn of a request that goes out now, unless it has had it since it was
+// AcquirePermit takes the turn of a request that goes out now, unless it has had it since it was
 // chosen, and reports whether the endpoint takes it: its limit may have become known since.
-func (r *Registry) Due(k *Pick) bool {
-	if r.c.Pacer == nil || k.turn {
+func (r *Registry) AcquirePermit(k *Pick) bool {
+	if r.c.RateLimiter == nil || k.turn {
 		return true
 	}
-	k.turn = r.c.Pacer.Take(k.Life(), time.Now())
+	k.turn = r.c.RateLimiter.Take(k.EndpointIncarnation(), time.Now())
 	return k.turn
 }
 
-// Unsent gives back the turn of a request of which nothing went out.
-func (r *Registry) Unsent(k *Pick) { r.giveBack(k) }
+// ReturnPermit gives back the turn of a request of which nothing went out.
+func (r *Registry) ReturnPermit(k *Pick) { r.giveBack(k) }
 
 func (r *Registry) giveBack(k *Pick) {
 	if k.turn {
 		k.turn = false
-		r.c.Pacer.Return(k.Life())
+		r.c.RateLimiter.Return(k.EndpointIncarnation())
 	}
 }
 
-// NextTurn is when this daemon may send to one of a pool's endpoints again that take
+// NextAvailable is when this daemon may send to one of a pool's endpoints again that take
 // nothing now, zero if it is not known of any.
-func (r *Registry) NextTurn(name identifier.Pool) time.Time {
+func (r *Registry) NextAvailable(name identifier.Pool) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var next time.Time
@@ -73,10 +73,10 @@
 	switch {
 	case c.Leaving:
 		return time.Time{}
-	case c.Resting:
-		return c.RestsUntil
+	case c.BackingOff:
+		return c.BackoffUntil
 	case c.Limited:
-		return r.c.Pacer.NextSend(life(c))
+		return r.c.RateLimiter.NextSend(life(c))
 	}
 	return time.Time{}
 }
--- a/internal/route/registry/listing.go
+++ b/internal/route/registry/listing.go
@@ -48,19 +48,19 @@
 
 func (r *Registry) applyHost(o *object.Object) {
 	if o.Deleted {
-		r.Put(map[string]*inventory.Host{o.Key: nil})
+		r.UpdateHosts(map[string]*inventory.Host{o.Key: nil})
 		return
 	}
 	var h inventory.Host
 	if json.Unmarshal(o.Value, &h) != nil {
 		return
 	}
-	r.Put(map[string]*inventory.Host{o.Key: &h})
+	r.UpdateHosts(map[string]*inventory.Host{o.Key: &h})
 }
 
-// Put takes in at once what is listed of hosts, by key; a nil host is not listed
+// UpdateHosts takes in at once what is listed of hosts, by key; a nil host is not listed
 // any more.
-func (r *Registry) Put(listed map[string]*inventory.Host) {
+func (r *Registry) UpdateHosts(listed map[string]*inventory.Host) {
 	for _, h := range listed {
 		if h != nil && h.State == inventory.StateLeaving {
 			r.MarkLeaving(h.Host, h.Incarnation, time.UnixMilli(unknownNotice))
@@ -76,13 +76,13 @@
 	}
 	r.rebuild()
 	r.mu.Unlock()
-	r.c.Changed()
+	r.c.OnChange()
 }
 
 // MarkLeaving stops new work to a host's endpoints. It reports whether that
 // was news.
 func (r *Registry) MarkLeaving(h identifier.Host, i identifier.Incarnation, deadline time.Time) bool {
-	if !r.c.Ledger.MarkLeaving(h, i, deadline, time.Now()) {
+	if !r.c.LeavingHosts.MarkLeaving(h, i, deadline, time.Now()) {
 		return false
 	}
 	r.Refresh()
@@ -99,11 +99,11 @@
 		}
 	}
 	r.mu.Unlock()
-	r.c.Changed()
+	r.c.OnChange()
 }
 
 func (r *Registry) mark(c *candidate.Candidate) {
-	c.Deadline, c.Leaving = r.c.Ledger.Leaving(c.Host, c.Incarnation)
+	c.Deadline, c.Leaving = r.c.LeavingHosts.Leaving(c.Host, c.Incarnation)
 	c.PricePerSecond = r.c.Price(c.AvailabilityZone, c.Class) / time.Hour.Seconds()
 }
 
@@ -141,16 +141,16 @@
 func (r *Registry) add(h *inventory.Host, e *inventory.Endpoint, known map[identifier.Endpoint]candidate.Candidate) {
 	c, ok := known[e.Endpoint]
 	if !ok || c.Incarnation != h.Incarnation {
-		c = candidate.Candidate{Endpoint: e.Endpoint, Hash: hash(e.Endpoint, h.Born), Pulse: new(candidate.Pulse)}
+		c = candidate.Candidate{Endpoint: e.Endpoint, Hash: hash(e.Endpoint, h.Born), Activity: new(candidate.Activity)}
 	}
 	c.Host, c.Incarnation, c.Born = h.Host, h.Incarnation, h.Born
 	c.AvailabilityZone, c.Class = h.AvailabilityZone, h.Class
 	c.Pool, c.Address, c.Version = e.Pool, e.Address, e.Version
-	if e.Cold > 0 && (!ok || c.Warm.IsZero()) {
-		c.Warm = time.Now().Add(e.Cold)
+	if e.Cold > 0 && (!ok || c.WarmAt.IsZero()) {
+		c.WarmAt = time.Now().Add(e.Cold)
 	}
 	key := lifeKey{c.Endpoint, c.Incarnation}
-	c.RestsUntil, c.SparedUntil = r.rests[key], r.spared[key]
+	c.BackoffUntil, c.PeerBackoffUntil = r.rests[key], r.spared[key]
 	r.mark(&c)
 	p := r.pools[e.Pool]
 	if p == nil {
--- a/internal/route/registry/load.go
+++ b/internal/route/registry/load.go
@@ -12,7 +12,7 @@
 	Endpoint identifier.Endpoint
 	// Born tells the endpoint's life.
 	Born identifier.Born
-	candidate.Others
+	candidate.SentLoad
 }
 
 // Loads returns what this daemon sends to the endpoints that it uses.
@@ -22,16 +22,16 @@
 	defer r.mu.Unlock()
 	var out []Load
 	r.each(func(c *candidate.Candidate) {
-		if rate := c.Recent(now); rate >= least {
-			out = append(out, Load{c.Endpoint, c.Born, candidate.Others{TokensPerSecond: rate, Running: int(c.InFlight), Unread: c.Unread()}})
+		if rate := c.RecentTokenRate(now); rate >= least {
+			out = append(out, Load{c.Endpoint, c.Born, candidate.SentLoad{TokensPerSecond: rate, Running: int(c.InFlight), PendingPrefill: c.PendingPrefill()}})
 		}
 	})
 	return out
 }
 
-// Learn takes in what the other daemons send to each endpoint.
-func (r *Registry) Learn(others map[identifier.Endpoint]candidate.Others) {
+// SetPeerLoads takes in what the other daemons send to each endpoint.
+func (r *Registry) SetPeerLoads(others map[identifier.Endpoint]candidate.SentLoad) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.each(func(c *candidate.Candidate) { c.Learn(others[c.Endpoint]) })
+	r.each(func(c *candidate.Candidate) { c.SetPeerLoad(others[c.Endpoint]) })
 }
--- a/internal/route/registry/pick.go
+++ b/internal/route/registry/pick.go
@@ -20,17 +20,17 @@
 	Cold bool
 	// PricePerSecond is that of the host.
 	PricePerSecond float64
-	// Predicted is the first token's time, as predicted from the request's own
+	// PredictedFirstToken is the first token's time, as predicted from the request's own
 	// Uncached prompt tokens, those Ahead of it and the Streams that run.
-	Predicted time.Duration
-	// Usual is the same for an endpoint that is as quick as the others.
-	Usual    time.Duration
-	Uncached identifier.Tokens
-	Ahead    float64
+	PredictedFirstToken time.Duration
+	// NominalFirstToken is the same for an endpoint that is as quick as the others.
+	NominalFirstToken    time.Duration
+	UncachedTokens identifier.Tokens
+	TokensAhead    float64
 	Streams  float64
 
-	// Pulse is told of what comes from the endpoint.
-	Pulse *candidate.Pulse
+	// Activity is told of what comes from the endpoint.
+	Activity *candidate.Activity
 
 	id int32
 	// turn: the request has its part of the endpoint's limit.
@@ -39,20 +39,20 @@
 	read bool
 }
 
-// Wait is the part of the predicted time in which the endpoint reads what is ahead.
-func (k *Pick) Wait() time.Duration {
-	all := k.Ahead + float64(k.Uncached)
+// PredictedWait is the part of the predicted time in which the endpoint reads what is ahead.
+func (k *Pick) PredictedWait() time.Duration {
+	all := k.TokensAhead + float64(k.UncachedTokens)
 	if all <= 0 {
 		return 0
 	}
-	return time.Duration(float64(k.Predicted) * k.Ahead / all)
+	return time.Duration(float64(k.PredictedFirstToken) * k.TokensAhead / all)
 }
 
 // readAt takes the prompt tokens of a pick off its endpoint's unread ones, once.
 func (k *Pick) readAt(c *candidate.Candidate) {
 	if !k.read {
 		k.read = true
-		c.Read(k.Uncached)
+		c.PrefillDone(k.UncachedTokens)
 	}
 }
 
@@ -77,7 +77,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.find(k)
-	return c != nil && !c.Leaving && !time.Now().Before(c.RestsUntil)
+	return c != nil && !c.Leaving && !time.Now().Before(c.BackoffUntil)
 }
 
 // Leaving tells whether a pick's host is leaving, and when if that is known.
@@ -91,8 +91,8 @@
 	return c.Deadline, c.Leaving
 }
 
-// Observe takes in how long a pick's first token took.
-func (r *Registry) Observe(k *Pick, took time.Duration) {
+// ObserveFirstToken takes in how long a pick's first token took.
+func (r *Registry) ObserveFirstToken(k *Pick, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c := r.find(k)
@@ -100,7 +100,7 @@
 		return
 	}
 	k.readAt(c)
-	if k.Predicted > 0 {
-		c.Observe(took, k.Predicted, time.Now())
+	if k.PredictedFirstToken > 0 {
+		c.ObserveFirstToken(took, k.PredictedFirstToken, time.Now())
 	}
 }
--- a/internal/route/registry/registry.go
+++ b/internal/route/registry/registry.go
@@ -55,30 +55,30 @@
 	unknownNotice = 0
 )
 
-// Ledger remembers leaving hosts.
-type Ledger interface {
+// LeavingHosts remembers leaving hosts.
+type LeavingHosts interface {
 	Leaving(h identifier.Host, i identifier.Incarnation) (time.Time, bool)
 	MarkLeaving(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool
 }
 
 // Config names the registry's collaborators.
 type Config struct {
-	Ledger Ledger
+	LeavingHosts LeavingHosts
 	// Price returns a host's cost per hour; nil for none.
 	Price func(identifier.AvailabilityZone, document.Class) float64
 	// Daemons counts the daemons that send to the same endpoints; nil for 1.
 	Daemons func() int
-	// Changed is told after endpoints came, went or began to leave; may be
+	// OnChange is told after endpoints came, went or began to leave; may be
 	// nil.
-	Changed func()
-	// Pacer says how much endpoints take that name a limit; nil if none does.
-	Pacer Pacer
+	OnChange func()
+	// RateLimiter says how much endpoints take that name a limit; nil if none does.
+	RateLimiter RateLimiter
 	// Select decides; selector.Select if nil. Experiments put baselines here.
 	Select func(*selector.Query, []candidate.Candidate, []identifier.Tokens, []selector.Prediction) selector.Decision
 }
 
-// Pacer holds requests to what endpoints say they take.
-type Pacer interface {
+// RateLimiter holds requests to what endpoints say they take.
+type RateLimiter interface {
 	// HasLimits tells whether some endpoint has a limit.
 	HasLimits() bool
 	// Ready tells whether a request may go to an endpoint now; Take takes its turn, and
@@ -97,7 +97,7 @@
 	refreshed  time.Time
 	// limited: some candidate may be marked as such.
 	limited bool
-	pace    candidate.Pace
+	pace    candidate.LoadParameters
 	// usual is the mean of the uncached tokens of the prompts sent.
 	usual float64
 	// versions counts the endpoints of each version that are not leaving, usualVersion is
@@ -150,8 +150,8 @@
 	if c.Select == nil {
 		c.Select = selector.Select
 	}
-	if c.Changed == nil {
-		c.Changed = func() {}
+	if c.OnChange == nil {
+		c.OnChange = func() {}
 	}
 	return &Registry{
 		c: c, hosts: make(map[string]inventory.Host), pools: make(map[identifier.Pool]*pool),
@@ -167,8 +167,8 @@
 	}
 }
 
-// Cached takes in an endpoint's cache event, which may be late.
-func (r *Registry) Cached(e identifier.Endpoint, b prefix.Block, stored bool) {
+// ApplyCacheEvent takes in an endpoint's cache event, which may be late.
+func (r *Registry) ApplyCacheEvent(e identifier.Endpoint, b prefix.Block, stored bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.each(func(c *candidate.Candidate) {
@@ -182,17 +182,17 @@
 	})
 }
 
-// Report takes in a load report, taken at a time of this daemon's clock.
-func (r *Registry) Report(l *report.Report, taken time.Time) {
+// ApplyReport takes in a load report, taken at a time of this daemon's clock.
+func (r *Registry) ApplyReport(l *report.Report, taken time.Time) {
 	r.mu.Lock()
 	var host identifier.Host
 	var incarnation identifier.Incarnation
 	r.each(func(c *candidate.Candidate) {
-		if c.Endpoint != l.Endpoint || !taken.After(c.Taken) {
+		if c.Endpoint != l.Endpoint || !taken.After(c.ReportedAt) {
 			return
 		}
 		c.Running, c.Queued, c.QueuedTokens, c.Model = l.Running, l.Queued, l.QueuedTokens, l.Model
-		c.Taken, c.Reported = taken, true
+		c.ReportedAt, c.Reported = taken, true
 		c.Refresh(time.Now(), r.pools[c.Pool].pace)
 		host, incarnation = c.Host, c.Incarnation
 	})
@@ -202,9 +202,9 @@
 	}
 }
 
-// Slots returns how many requests a pool takes, given the bound for each
+// Capacity returns how many requests a pool takes, given the bound for each
 // endpoint.
-func (r *Registry) Slots(name identifier.Pool, maxInFlight int) int {
+func (r *Registry) Capacity(name identifier.Pool, maxInFlight int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pools[name]
@@ -213,7 +213,7 @@
 	}
 	n := 0
 	for i := range p.candidates {
-		if c := &p.candidates[i]; !c.Leaving && !c.Resting && !c.Ejected(time.Now()) {
+		if c := &p.candidates[i]; !c.Leaving && !c.BackingOff && !c.Ejected(time.Now()) {
 			n += maxInFlight
 		}
 	}
@@ -234,12 +234,12 @@
 
 // HostLeaving tells whether this life of a host is known to leave.
 func (r *Registry) HostLeaving(h *inventory.Host) bool {
-	_, leaving := r.c.Ledger.Leaving(h.Host, h.Incarnation)
+	_, leaving := r.c.LeavingHosts.Leaving(h.Host, h.Incarnation)
 	return leaving
 }
 
-// Zones counts the zones that list endpoints.
-func (r *Registry) Zones() int {
+// ZoneCount counts the zones that list endpoints.
+func (r *Registry) ZoneCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	seen := make(map[identifier.AvailabilityZone]bool)
--- a/internal/route/registry/registry_test.go
+++ b/internal/route/registry/registry_test.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/peer/ledger"
+	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/platform/object"
@@ -16,7 +16,7 @@
 
 func newRegistry(t *testing.T, hosts ...string) *Registry {
 	t.Helper()
-	r := New(Config{Ledger: ledger.New(ledger.Config{Self: &rpc.Member{Host: "entry"}})})
+	r := New(Config{LeavingHosts: membertracker.New(membertracker.Config{Self: &rpc.Member{Host: "entry"}})})
 	for _, h := range hosts {
 		list(t, r, h, 1, inventory.StateLive)
 	}
@@ -79,7 +79,7 @@
 		r := newRegistry(t, "a", "b", "c", "d")
 		for range ejectAfter + 1 {
 			for _, c := range r.Endpoints() {
-				r.Release(r.Take(c.Endpoint), Failed)
+				r.Release(r.PickEndpoint(c.Endpoint), Failed)
 			}
 		}
 		out := 0
--- a/internal/route/registry/rest.go
+++ b/internal/route/registry/rest.go
@@ -22,24 +22,24 @@
 	mostSpared = 64
 )
 
-// Rest is the rest that a life of an endpoint wants.
-type Rest struct {
+// Backoff is the rest that a life of an endpoint wants.
+type Backoff struct {
 	Endpoint identifier.Endpoint
 	Born     identifier.Born
 	Until    time.Time
 }
 
-// Rest leaves a pick's endpoint alone for a time, as it said. What it told before stands if it
+// BackOff leaves a pick's endpoint alone for a time, as it said. What it told before stands if it
 // lasts longer. Once it is over the endpoint gets single requests until one succeeds. It
 // returns when that is.
-func (r *Registry) Rest(k *Pick, d time.Duration) time.Time {
+func (r *Registry) BackOff(k *Pick, d time.Duration) time.Time {
 	now := time.Now()
 	until := now.Add(d + time.Duration(rand.Float64()*restSpread*float64(d)))
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	until = later(r.rests, lifeKey{k.Endpoint, k.Incarnation}, until, now)
 	if c := r.find(k); c != nil {
-		c.RestsUntil = until
+		c.BackoffUntil = until
 		c.Failures = max(c.Failures, 1)
 		c.Refresh(now, r.pools[c.Pool].pace)
 	}
@@ -56,9 +56,9 @@
 	return until
 }
 
-// Spare takes in that an endpoint wants rest from another daemon. It still gets requests that
+// ApplyPeerBackoff takes in that an endpoint wants rest from another daemon. It still gets requests that
 // no other endpoint would serve in time. It reports whether that was news.
-func (r *Registry) Spare(rest Rest) (news bool) {
+func (r *Registry) ApplyPeerBackoff(rest Backoff) (news bool) {
 	now := time.Now()
 	until := rest.Until
 	if latest := now.Add(longestSpare); until.After(latest) {
@@ -75,29 +75,29 @@
 		if c.Endpoint != rest.Endpoint || c.Born != rest.Born || !known && len(r.spared) >= mostSpared {
 			return
 		}
-		news = !c.SparedUntil.After(now)
-		c.SparedUntil = later(r.spared, key, until, now)
+		news = !c.PeerBackoffUntil.After(now)
+		c.PeerBackoffUntil = later(r.spared, key, until, now)
 		c.Refresh(now, r.pools[c.Pool].pace)
 	})
 	return news
 }
 
-// Rests returns the endpoints that want rest from some daemon, for others, those first that
+// Backoffs returns the endpoints that want rest from some daemon, for others, those first that
 // want it longest.
-func (r *Registry) Rests() []Rest {
+func (r *Registry) Backoffs() []Backoff {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var out []Rest
+	var out []Backoff
 	r.each(func(c *candidate.Candidate) {
-		until := c.RestsUntil
-		if c.SparedUntil.After(until) {
-			until = c.SparedUntil
+		until := c.BackoffUntil
+		if c.PeerBackoffUntil.After(until) {
+			until = c.PeerBackoffUntil
 		}
 		if until.After(now) {
-			out = append(out, Rest{c.Endpoint, c.Born, until})
+			out = append(out, Backoff{c.Endpoint, c.Born, until})
 		}
 	})
-	slices.SortFunc(out, func(a, b Rest) int { return cmp.Or(b.Until.Compare(a.Until), cmp.Compare(a.Endpoint, b.Endpoint)) })
+	slices.SortFunc(out, func(a, b Backoff) int { return cmp.Or(b.Until.Compare(a.Until), cmp.Compare(a.Endpoint, b.Endpoint)) })
 	return out[:min(len(out), mostSpared)]
 }
--- a/internal/route/registry/rest_test.go
+++ b/internal/route/registry/rest_test.go
@@ -13,7 +13,7 @@
 
 // ask picks an endpoint for a plain request.
 func ask(r *Registry) (*Pick, selector.Decision) {
-	return r.Choose(&Query{Pool: "p", Select: selector.Query{Now: time.Now(), MaxInFlight: 100, Prefill: 40000, Decode: 100, LateCost: 1, Target: time.Second}})
+	return r.Choose(&Query{Pool: "p", Select: selector.Query{Now: time.Now(), MaxInFlight: 100, PrefillRate: 40000, DecodeRate: 100, LateCost: 1, Target: time.Second}})
 }
 
 // A request was chosen for an endpoint that asks for rest before it is sent.
@@ -22,14 +22,14 @@
 		r := newRegistry(t, "h")
 		first, _ := ask(r)
 		second, _ := ask(r)
-		r.Rest(first, time.Second)
+		r.BackOff(first, time.Second)
 		if r.Usable(second) {
 			t.Error("a request that had been chosen before would be sent")
 		}
-		if pick, d := ask(r); pick != nil || d.Excluded.Resting != 1 {
+		if pick, d := ask(r); pick != nil || d.Excluded.BackingOff != 1 {
 			t.Errorf("chosen: %+v, excluded: %+v", pick, d.Excluded)
 		}
-		if next := time.Until(r.NextTurn("p")); next < time.Second || next > 1150*time.Millisecond {
+		if next := time.Until(r.NextAvailable("p")); next < time.Second || next > 1150*time.Millisecond {
 			t.Errorf("next turn in %v", next)
 		}
 		r.Release(first, Neutral)
@@ -47,9 +47,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t, "h")
 		pick, _ := ask(r)
-		r.Rest(pick, 10*time.Second)
-		r.Rest(pick, time.Second)
-		r.Put(map[string]*inventory.Host{inventory.HostPrefix + "z/h": nil})
+		r.BackOff(pick, 10*time.Second)
+		r.BackOff(pick, time.Second)
+		r.UpdateHosts(map[string]*inventory.Host{inventory.HostPrefix + "z/h": nil})
 		list(t, r, "h", 1, inventory.StateLive)
 		time.Sleep(2 * time.Second)
 		if pick, _ := ask(r); pick != nil {
@@ -66,7 +66,7 @@
 func TestEndpointThatOthersSpareGoesLast(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t, "a", "b")
-		if !r.Spare(Rest{Endpoint: "on-a", Until: time.Now().Add(time.Hour)}) || r.Spare(Rest{Endpoint: "on-a", Until: time.Now().Add(time.Second)}) {
+		if !r.ApplyPeerBackoff(Backoff{Endpoint: "on-a", Until: time.Now().Add(time.Hour)}) || r.ApplyPeerBackoff(Backoff{Endpoint: "on-a", Until: time.Now().Add(time.Second)}) {
 			t.Error("the first word is news, the second is not")
 		}
 		for range 20 {
@@ -74,7 +74,7 @@
 				t.Fatalf("%s was chosen", pick.Endpoint)
 			}
 		}
-		if rests := r.Rests(); len(rests) != 1 || rests[0].Until.After(time.Now().Add(longestSpare)) {
+		if rests := r.Backoffs(); len(rests) != 1 || rests[0].Until.After(time.Now().Add(longestSpare)) {
 			t.Errorf("told: %+v", rests)
 		}
 		r.MarkLeaving("b", 1, time.Time{})
@@ -92,21 +92,21 @@
 			Fleet: func() pacer.Fleet { return pacer.Fleet{Peers: []identifier.Host{"front-2"}, Size: 2} },
 		})
 		r := newRegistry(t, "h")
-		r.c.Pacer = p
+		r.c.RateLimiter = p
 		before, _ := ask(r)
-		p.ObserveResponse(before.Life(), pacer.NewRateLimit(0.5), time.Now())
-		if r.Due(before) {
+		p.ObserveResponse(before.EndpointIncarnation(), pacer.NewRateLimit(0.5), time.Now())
+		if r.AcquirePermit(before) {
 			t.Error("a request that had been chosen before would be sent")
 		}
 		time.Sleep(5 * time.Second)
 		with, _ := ask(r)
-		if with == nil || !r.Due(with) {
+		if with == nil || !r.AcquirePermit(with) {
 			t.Fatal("a request with its turn is not sent")
 		}
 		if pick, d := ask(r); pick != nil || d.Excluded.Limited != 1 {
 			t.Errorf("chosen: %+v, excluded: %+v", pick, d.Excluded)
 		}
-		r.Unsent(with)
+		r.ReturnPermit(with)
 		if pick, _ := ask(r); pick == nil {
 			t.Error("the turn of a request that was not sent is lost")
 		}
--- a/internal/route/registry/silence.go
+++ b/internal/route/registry/silence.go
@@ -21,11 +21,11 @@
 	for i := range p.candidates {
 		c := &p.candidates[i]
 		z := zones[c.AvailabilityZone]
-		c.Silent = c.Pulse.Silent(now)
+		c.Silent = c.Activity.Silent(now)
 		switch {
 		case c.Silent:
 			z.silent++
-		case c.Pulse.Talks():
+		case c.Activity.Streaming():
 			z.talking++
 		}
 		zones[c.AvailabilityZone] = z
--- a/internal/route/registry/silence_test.go
+++ b/internal/route/registry/silence_test.go
@@ -35,9 +35,9 @@
 			listIn(t, r, zone, fmt.Sprintf("%s%d", zone, n))
 		}
 		for n := range 2 {
-			k := r.Take(identifier.Endpoint(fmt.Sprintf("%s%d", zone, n)))
-			k.Pulse.Begin()
-			k.Pulse.Beat(time.Now())
+			k := r.PickEndpoint(identifier.Endpoint(fmt.Sprintf("%s%d", zone, n)))
+			k.Activity.BeginStream()
+			k.Activity.RecordEvent(time.Now())
 			streams[zone] = append(streams[zone], k)
 		}
 	}
@@ -70,7 +70,7 @@
 				time.Sleep(50 * time.Millisecond)
 				for _, zone := range zones {
 					for _, k := range streams[zone] {
-						k.Pulse.Beat(time.Now())
+						k.Activity.RecordEvent(time.Now())
 					}
 				}
 			}
@@ -114,13 +114,13 @@
 		r := newRegistry(t)
 		streams := streamingPool(t, r)
 		for _, k := range streams["d"] {
-			k.Pulse.End()
+			k.Activity.EndStream()
 		}
 		for range 20 {
 			time.Sleep(50 * time.Millisecond)
 			for _, zone := range []string{"a", "b", "c"} {
 				for _, k := range streams[zone] {
-					k.Pulse.Beat(time.Now())
+					k.Activity.RecordEvent(time.Now())
 				}
 			}
 		}
--- a/internal/route/registry/unread_test.go
+++ b/internal/route/registry/unread_test.go
@@ -13,7 +13,7 @@
 // asks is a request of a model with an objective of half a second.
 func asks(seed uint64, tokens identifier.Tokens) *Query {
 	return &Query{Pool: "p", Select: selector.Query{
-		Now: time.Now(), Seed: seed, MaxInFlight: 100, Slots: 100, Prefill: 50_000, Decode: 100,
+		Now: time.Now(), Seed: seed, MaxInFlight: 100, Slots: 100, PrefillRate: 50_000, DecodeRate: 100,
 		PromptTokens: tokens, Target: 500 * time.Millisecond, LateCost: 1,
 	}}
 }
@@ -27,7 +27,7 @@
 		for _, zone := range []string{"a", "b", "c", "d"} {
 			listIn(t, r, "z", zone)
 		}
-		r.Learn(map[identifier.Endpoint]candidate.Others{})
+		r.SetPeerLoads(map[identifier.Endpoint]candidate.SentLoad{})
 		long, _ := r.Choose(asks(1, 50_000))
 		time.Sleep(300 * time.Millisecond)
 		for seed := range uint64(50) {
@@ -35,15 +35,15 @@
 			if k.Endpoint == long.Endpoint {
 				t.Fatalf("request %d goes to the engine that reads the long prompt", seed)
 			}
-			r.Withdraw(k)
+			r.Cancel(k)
 		}
-		r.Observe(long, time.Second)
+		r.ObserveFirstToken(long, time.Second)
 		time.Sleep(5 * time.Second)
 		used := false
 		for seed := range uint64(50) {
 			k, _ := r.Choose(asks(seed, 500))
 			used = used || k.Endpoint == long.Endpoint
-			r.Withdraw(k)
+			r.Cancel(k)
 		}
 		if !used {
 			t.Error("the engine is not used after it has read the prompt")
@@ -58,13 +58,13 @@
 		r := newRegistry(t)
 		listIn(t, r, "z", "a")
 		listIn(t, r, "z", "b")
-		r.Learn(map[identifier.Endpoint]candidate.Others{"a": {Unread: 60_000}, "b": {}})
+		r.SetPeerLoads(map[identifier.Endpoint]candidate.SentLoad{"a": {PendingPrefill: 60_000}, "b": {}})
 		time.Sleep(time.Second)
 		for seed := range uint64(30) {
 			if k, _ := r.Choose(asks(seed, 500)); k.Endpoint != "b" {
 				t.Fatalf("request %d goes to the longer queue", seed)
 			} else {
-				r.Withdraw(k)
+				r.Cancel(k)
 			}
 		}
 	})
--- a/internal/route/registry/version.go
+++ b/internal/route/registry/version.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Versions counts the endpoints of a pool by version, without those that are leaving.
-func (r *Registry) Versions(name identifier.Pool) map[identifier.Version]int {
+// VersionCounts counts the endpoints of a pool by version, without those that are leaving.
+func (r *Registry) VersionCounts(name identifier.Pool) map[identifier.Version]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p := r.pools[name]; p != nil {
--- a/internal/route/selector/alternative.go
+++ b/internal/route/selector/alternative.go
@@ -26,7 +26,7 @@
 	Tried    int
 	Version  int
 	Limited  int
-	Resting  int
+	BackingOff  int
 	NotFound int
 }
 
@@ -38,9 +38,9 @@
 	Index int
 	// Chosen holds its predictions.
 	Chosen Alternative
-	// Best holds the best others, the first Others of them.
-	Best     [maxAlternatives]Alternative
-	Others   int
+	// Alternatives holds the best others, the first Others of them.
+	Alternatives     [maxAlternatives]Alternative
+	AlternativeCount   int
 	Excluded Excluded
 }
 
@@ -56,9 +56,9 @@
 
 // note keeps the best alternatives for the explanation.
 func (d *Decision) note(a Alternative) {
-	place := d.Others
-	for i := range d.Others {
-		if better(&a, &d.Best[i]) {
+	place := d.AlternativeCount
+	for i := range d.AlternativeCount {
+		if better(&a, &d.Alternatives[i]) {
 			place = i
 			break
 		}
@@ -66,9 +66,9 @@
 	if place >= maxAlternatives {
 		return
 	}
-	copy(d.Best[place+1:], d.Best[place:maxAlternatives-1])
-	d.Best[place] = a
-	d.Others = min(d.Others+1, maxAlternatives)
+	copy(d.Alternatives[place+1:], d.Alternatives[place:maxAlternatives-1])
+	d.Alternatives[place] = a
+	d.AlternativeCount = min(d.AlternativeCount+1, maxAlternatives)
 }
 
 func better(a, b *Alternative) bool {
