--- a/internal/route/selector/model.go
+++ b/internal/route/selector/model.go
@@ -53,40 +53,40 @@
 		tokens = cached[i]
 	}
 	if i == m.home {
-		tokens = max(tokens, m.q.Known)
+		tokens = max(tokens, m.q.PriorTokens)
 	}
 	return tokens
 }
 
-// Premium returns how much more a second of an endpoint may cost than of the
+// HomePricePremium returns how much more a second of an endpoint may cost than of the
 // cheapest for it to be a home. Homes on few cheap endpoints share little
 // cache; on all endpoints they share much and cost more. What the recomputing
 // of a usual prompt counts for decides.
-func Premium(recomputeWeight float64) float64 {
+func HomePricePremium(recomputeWeight float64) float64 {
 	const usualPrompt = 1 // in thousands of tokens
 	return recomputeWeight * usualPrompt * nextTurn
 }
 
-// Home returns the endpoint where the turns of a conversation meet, or None.
-func Home(prefix uint64, premium float64, candidates []candidate.Candidate) int {
-	return home(prefix, premium, candidates, &Versions{})
+// HomeIndex returns the endpoint where the turns of a conversation meet, or None.
+func HomeIndex(prefix uint64, premium float64, candidates []candidate.Candidate) int {
+	return home(prefix, premium, candidates, &VersionFilter{})
 }
 
 // home is the same among the endpoints of some versions.
-func home(prefix uint64, premium float64, candidates []candidate.Candidate, v *Versions) int {
+func home(prefix uint64, premium float64, candidates []candidate.Candidate, v *VersionFilter) int {
 	if prefix == 0 {
 		return None
 	}
 	cheapest := math.MaxFloat64
 	for i := range candidates {
-		if c := &candidates[i]; !c.Leaving && !c.Out && v.Allow(c) && c.PricePerSecond < cheapest {
+		if c := &candidates[i]; !c.Leaving && !c.Unavailable && v.Allow(c) && c.PricePerSecond < cheapest {
 			cheapest = c.PricePerSecond
 		}
 	}
 	best, highest := None, uint64(0)
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Leaving || c.Out || c.PricePerSecond > cheapest+premium || !v.Allow(c) {
+		if c.Leaving || c.Unavailable || c.PricePerSecond > cheapest+premium || !v.Allow(c) {
 			continue
 		}
 		if h := mix(prefix ^ c.Hash); best == None || h > highest {
@@ -114,8 +114,8 @@
 func newModel(q *Query, cached []identifier.Tokens) model {
 	const thousand = 1000
 	m := model{
-		q: q, best: mostCached(cached), target: q.Target.Seconds(), perRead: 1 / float64(max(q.Prefill, 1)),
-		writing: float64(q.OutputTokens) / float64(max(q.Decode, 1)), perLost: q.RecomputeWeight / thousand,
+		q: q, best: mostCached(cached), target: q.Target.Seconds(), perRead: 1 / float64(max(q.PrefillRate, 1)),
+		writing: float64(q.OutputTokens) / float64(max(q.DecodeRate, 1)), perLost: q.RecomputeWeight / thousand,
 	}
 	m.slots = float64(q.Slots)
 	if q.Target == 0 {
@@ -129,15 +129,15 @@
 // busy and the tokens that it computes though another has them cached.
 func (m *model) predict(c *candidate.Candidate, cached identifier.Tokens) Prediction {
 	uncached := m.q.PromptTokens - min(cached, m.q.PromptTokens)
-	slow := max(c.Slow, 1)
+	slow := max(c.Slowdown, 1)
 	reading := float64(uncached) * m.perRead * (1 + BatchSlowdown*c.Streams)
-	p := Prediction{FirstToken: (c.Ahead*m.perRead + reading) * slow, Cost: c.PricePerSecond * (reading + m.writing) * slow}
+	p := Prediction{FirstToken: (c.TokensAhead*m.perRead + reading) * slow, Cost: c.PricePerSecond * (reading + m.writing) * slow}
 	if m.slots > 0 && c.Streams >= m.slots {
 		p.FirstToken += m.writing * (c.Streams - m.slots + 1) / m.slots
 	}
 	if c.AvailabilityZone != m.q.Zone {
 		p.FirstToken += zoneSeconds
-		p.Cost += m.q.ZoneCost
+		p.Cost += m.q.CrossZoneCost
 	}
 	if recomputed := m.best - cached; recomputed > 0 {
 		p.Cost += m.perLost * float64(recomputed)
--- a/internal/route/selector/selector.go
+++ b/internal/route/selector/selector.go
@@ -78,20 +78,20 @@
 	// Model must be loaded; empty for plain services.
 	Model        string
 	PromptTokens identifier.Tokens
-	// Known are the prompt tokens that an earlier turn sent somewhere.
-	Known        identifier.Tokens
+	// PriorTokens are the prompt tokens that an earlier turn sent somewhere.
+	PriorTokens        identifier.Tokens
 	OutputTokens identifier.Tokens
 	MaxInFlight  int
 	// Slots is how many streams an engine runs at once; 0 if not known.
 	Slots   int
-	Prefill int
-	Decode  int
+	PrefillRate int
+	DecodeRate  int
 	Target  time.Duration
 	// RecomputeWeight is the cost of a thousand recomputed tokens.
 	RecomputeWeight float64
-	// ZoneCost is the cost of carrying the request and its answer to another
+	// CrossZoneCost is the cost of carrying the request and its answer to another
 	// zone and back.
-	ZoneCost float64
+	CrossZoneCost float64
 	// LateCost is what a first token after the target costs. Where it is set,
 	// the place with the lowest cost is taken, that of being late included;
 	// otherwise the target is met first, and cost decides among the rest.
@@ -99,7 +99,7 @@
 	// Tried lists endpoints that this request must not be sent to again.
 	Tried []identifier.Endpoint
 	// Versions are those that the request may go to.
-	Versions Versions
+	Versions VersionFilter
 }
 
 // Select decides among candidates. cached holds, by position, the prompt
@@ -112,9 +112,9 @@
 	}
 	scratch = scratch[:len(candidates)]
 	m := newModel(q, cached)
-	m.home = home(q.Prefix, Premium(q.RecomputeWeight), candidates, &q.Versions)
+	m.home = home(q.Prefix, HomePricePremium(q.RecomputeWeight), candidates, &q.Versions)
 	if m.home != None {
-		m.best = max(m.best, q.Known)
+		m.best = max(m.best, q.PriorTokens)
 		m.away = m.perLost * float64(q.PromptTokens) * nextTurn
 	}
 	var least bounds
@@ -130,7 +130,7 @@
 		}
 		scratch[i] = p
 		least.add(p, m.target)
-		if d.Others < maxAlternatives || m.better(p, &d.Best[maxAlternatives-1]) {
+		if d.AlternativeCount < maxAlternatives || m.better(p, &d.Alternatives[maxAlternatives-1]) {
 			d.note(m.alternative(c, p, m.cached(cached, i)))
 		}
 	}
@@ -221,7 +221,7 @@
 	for i := range scratch {
 		if scratch[i].FirstToken >= 0 {
 			late := m.late(scratch[i].FirstToken)
-			if candidates[i].Spared {
+			if candidates[i].PeerBackingOff {
 				// It most likely turns this daemon away, too.
 				late = 1
 			}
@@ -248,11 +248,11 @@
 		x.Version++
 	case c.Silent:
 		x.Silent++
-	case c.Resting:
-		x.Resting++
+	case c.BackingOff:
+		x.BackingOff++
 	case c.Limited:
 		x.Limited++
-	case c.Out:
+	case c.Unavailable:
 		x.Ejected++
 	case len(q.Zones) > 0 && !slices.Contains(q.Zones, c.AvailabilityZone):
 		x.Zone++
@@ -260,7 +260,7 @@
 		x.Model++
 	case len(q.Tried) > 0 && slices.Contains(q.Tried, c.Endpoint):
 		x.Tried++
-	case int(c.InFlight) >= q.MaxInFlight || c.Suspect && c.InFlight > 0:
+	case int(c.InFlight) >= q.MaxInFlight || c.OnProbation && c.InFlight > 0:
 		x.Full++
 	default:
 		return true
--- a/internal/route/selector/selector_test.go
+++ b/internal/route/selector/selector_test.go
@@ -15,7 +15,7 @@
 func query(now time.Time) *Query {
 	return &Query{
 		Now: now, Seed: 7, Zone: "z0", Model: "m", PromptTokens: 800, OutputTokens: 100, MaxInFlight: 8,
-		Prefill: 8000, Decode: 50, Target: 330 * time.Millisecond, RecomputeWeight: 0.1,
+		PrefillRate: 8000, DecodeRate: 50, Target: 330 * time.Millisecond, RecomputeWeight: 0.1,
 	}
 }
 
@@ -23,8 +23,8 @@
 	out := make([]candidate.Candidate, n)
 	for i := range out {
 		out[i] = candidate.Candidate{
-			Endpoint: identifier.Endpoint(fmt.Sprintf("e%d", i)), AvailabilityZone: "z0", Model: "m", Taken: now,
-			Streams: float64(i % 5), PricePerSecond: 1, Hash: xxhash.Sum64String(fmt.Sprint(i)), Fresh: true,
+			Endpoint: identifier.Endpoint(fmt.Sprintf("e%d", i)), AvailabilityZone: "z0", Model: "m", ReportedAt: now,
+			Streams: float64(i % 5), PricePerSecond: 1, Hash: xxhash.Sum64String(fmt.Sprint(i)), ReportFresh: true,
 		}
 	}
 	return out
@@ -38,9 +38,9 @@
 		count  func(*Excluded) int
 	}{
 		{"leaving", func(c *candidate.Candidate) { c.Leaving = true }, func(x *Excluded) int { return x.Leaving }},
-		{"ejected", func(c *candidate.Candidate) { c.EjectedUntil = now.Add(time.Second); c.Refresh(now, candidate.Pace{}) }, func(x *Excluded) int { return x.Ejected }},
+		{"ejected", func(c *candidate.Candidate) { c.EjectedUntil = now.Add(time.Second); c.Refresh(now, candidate.LoadParameters{}) }, func(x *Excluded) int { return x.Ejected }},
 		{"full", func(c *candidate.Candidate) { c.InFlight = 8 }, func(x *Excluded) int { return x.Full }},
-		{"probed already", func(c *candidate.Candidate) { c.Failures, c.InFlight = 3, 1; c.Refresh(now, candidate.Pace{}) }, func(x *Excluded) int { return x.Full }},
+		{"probed already", func(c *candidate.Candidate) { c.Failures, c.InFlight = 3, 1; c.Refresh(now, candidate.LoadParameters{}) }, func(x *Excluded) int { return x.Full }},
 		{"zone", func(c *candidate.Candidate) { c.AvailabilityZone = "z9" }, func(x *Excluded) int { return x.Zone }},
 		{"model", func(c *candidate.Candidate) { c.Model, c.Reported = "other", true }, func(x *Excluded) int { return x.Model }},
 		{"nothing loaded yet", func(c *candidate.Candidate) { c.Model, c.Reported = "", true }, func(x *Excluded) int { return x.Model }},
@@ -75,9 +75,9 @@
 		want   int
 	}{
 		{"cheapest in target", func(*Query, []candidate.Candidate, []identifier.Tokens) {}, 1},
-		{"cheap but too slow", func(_ *Query, c []candidate.Candidate, _ []identifier.Tokens) { c[1].Ahead = 9000 }, 2},
+		{"cheap but too slow", func(_ *Query, c []candidate.Candidate, _ []identifier.Tokens) { c[1].TokensAhead = 9000 }, 2},
 		{"none in target: soonest", func(_ *Query, c []candidate.Candidate, _ []identifier.Tokens) {
-			c[0].Ahead, c[1].Ahead, c[2].Ahead = 9000, 20000, 30000
+			c[0].TokensAhead, c[1].TokensAhead, c[2].TokensAhead = 9000, 20000, 30000
 		}, 0},
 		{"cached prefix outweighs price", func(q *Query, _ []candidate.Candidate, cached []identifier.Tokens) {
 			cached[0] = 640
@@ -88,9 +88,9 @@
 			q.RecomputeWeight = 0.0001
 		}, 1},
 		{"own requests count when the report is old", func(_ *Query, c []candidate.Candidate, _ []identifier.Tokens) {
-			c[1].Taken = now.Add(-time.Minute)
-			c[1].Sent(now, 9000)
-			c[1].Refresh(now, candidate.Pace{Drain: 8000})
+			c[1].ReportedAt = now.Add(-time.Minute)
+			c[1].RecordSent(now, 9000)
+			c[1].Refresh(now, candidate.LoadParameters{PrefillRate: 8000})
 		}, 2},
 	}
 	for _, c := range cases {
@@ -119,7 +119,7 @@
 		for i := range list {
 			list[i].Leaving = rapid.Bool().Draw(rt, "leaving")
 			list[i].InFlight = rapid.Int32Range(0, 8).Draw(rt, "in flight")
-			list[i].Ahead = rapid.Float64Range(0, 5000).Draw(rt, "ahead")
+			list[i].TokensAhead = rapid.Float64Range(0, 5000).Draw(rt, "ahead")
 		}
 		q := query(now)
 		q.Seed = rapid.Uint64().Draw(rt, "seed")
@@ -138,7 +138,7 @@
 		if c := &list[d.Index]; c.Leaving || c.InFlight >= 8 {
 			rt.Fatalf("chose %+v", c)
 		}
-		if d.Others > 0 && d.Best[0].InTarget && !d.Chosen.InTarget {
+		if d.AlternativeCount > 0 && d.Alternatives[0].InTarget && !d.Chosen.InTarget {
 			rt.Fatalf("%+v", d)
 		}
 	})
@@ -151,9 +151,9 @@
 	now := time.Now()
 	list := candidates(12, now)
 	for i := range list {
-		list[i].Streams, list[i].Ahead = 2, 100
+		list[i].Streams, list[i].TokensAhead = 2, 100
 	}
-	list[5].Ahead = 90
+	list[5].TokensAhead = 90
 	count := make([]int, len(list))
 	const requests = 900
 	for i := range requests {
@@ -190,20 +190,20 @@
 func TestLateCostLeavesABusyHome(t *testing.T) {
 	now := time.Now()
 	q := query(now)
-	q.Prefix, q.Known, q.PromptTokens, q.RecomputeWeight, q.LateCost, q.Target = 99, 13_000, 17_000, 0.027, 2.7, time.Second
-	q.Prefill, q.MaxInFlight = 40_000, 128
+	q.Prefix, q.PriorTokens, q.PromptTokens, q.RecomputeWeight, q.LateCost, q.Target = 99, 13_000, 17_000, 0.027, 2.7, time.Second
+	q.PrefillRate, q.MaxInFlight = 40_000, 128
 	list := candidates(4, now)
 	for i := range list {
 		list[i].Streams = 0
 	}
-	home := Home(q.Prefix, Premium(q.RecomputeWeight), list)
+	home := HomeIndex(q.Prefix, HomePricePremium(q.RecomputeWeight), list)
 	for _, ahead := range []float64{0, 5_000} {
-		list[home].Ahead = ahead
+		list[home].TokensAhead = ahead
 		if d := Select(q, list, nil, nil); d.Index != home {
 			t.Errorf("%.0f tokens ahead at home: went to %d", ahead, d.Index)
 		}
 	}
-	list[home].Ahead = 80_000
+	list[home].TokensAhead = 80_000
 	if d := Select(q, list, nil, nil); d.Index == home {
 		t.Error("stayed at a home that answers two seconds late")
 	}
@@ -214,7 +214,7 @@
 func TestZoneCostKeepsSmallPromptsAtHome(t *testing.T) {
 	now := time.Now()
 	q := query(now)
-	q.LateCost, q.ZoneCost, q.RecomputeWeight, q.Target, q.Prefill = 0.3, 0.012, 0.027, time.Second, 40_000
+	q.LateCost, q.CrossZoneCost, q.RecomputeWeight, q.Target, q.PrefillRate = 0.3, 0.012, 0.027, time.Second, 40_000
 	list := candidates(8, now)
 	for i := range list {
 		list[i].Streams = 0
--- a/internal/route/splitter/grant.go
+++ b/internal/route/splitter/grant.go
@@ -20,22 +20,22 @@
 	Target  identifier.Version
 	Order   uint64
 	Phase   rollout.Phase
-	// Fencing and Beat tell which of two is newer.
-	Fencing, Beat uint64
-	// Said is when the holder said so, Ends when the old endpoints are to end, by this
+	// Fencing and Sequence tell which of two is newer.
+	Fencing, Sequence uint64
+	// IssuedAt is when the holder said so, OldEndAt when the old endpoints are to end, by this
 	// daemon's clock.
-	Said, Ends time.Time
+	IssuedAt, OldEndAt time.Time
 }
 
 func (g *Grant) newer(than *Grant) bool {
 	if g.Fencing != than.Fencing {
 		return g.Fencing > than.Fencing
 	}
-	return g.Beat > than.Beat
+	return g.Sequence > than.Sequence
 }
 
-// Hear takes in what the holder said, from it or passed on by another daemon.
-func (s *Splitter) Hear(g *Grant, source string) (news bool) {
+// ApplyGrant takes in what the holder said, from it or passed on by another daemon.
+func (s *Splitter) ApplyGrant(g *Grant, source string) (news bool) {
 	s.mu.Lock()
 	v := s.services[g.Service]
 	if v == nil || g.Order != v.order.OrderID() || v.grant.Order == g.Order && !g.newer(&v.grant) && g.Phase <= v.grant.Phase {
@@ -52,10 +52,10 @@
 	}
 	v.grant = next
 	now := s.c.Now()
-	c, changed := v.change(before, source, now, now.Sub(g.Said))
+	c, changed := v.change(before, source, now, now.Sub(g.IssuedAt))
 	s.mu.Unlock()
 	if changed {
-		s.tell([]Change{c})
+		s.tell([]PhaseChange{c})
 	}
 	return changed
 }
@@ -75,12 +75,12 @@
 
 // granted tells whether the holder has lately said to go on.
 func (s *Splitter) granted(v *service, now time.Time) bool {
-	return v.grant.Order == v.order.OrderID() && now.Sub(v.grant.Said) < s.grantTime()
+	return v.grant.Order == v.order.OrderID() && now.Sub(v.grant.IssuedAt) < s.grantTime()
 }
 
 func (s *Splitter) grantTime() time.Duration {
-	if s.c.Leave <= 0 {
+	if s.c.RollbackTime <= 0 {
 		return grantTime
 	}
-	return min(grantTime, time.Duration(grantPart*float64(s.c.Leave)))
+	return min(grantTime, time.Duration(grantPart*float64(s.c.RollbackTime)))
 }
--- a/internal/route/splitter/order.go
+++ b/internal/route/splitter/order.go
@@ -9,8 +9,8 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Change is a change of what this daemon takes for the phase of a roll-out.
-type Change struct {
+// PhaseChange is a change of what this daemon takes for the phase of a roll-out.
+type PhaseChange struct {
 	Service       identifier.Service
 	Target        identifier.Version
 	Order         uint64
@@ -41,10 +41,10 @@
 	usual map[string]usual
 }
 
-// Put takes in the orders as they are stored; a nil one is not stored any more. source says
+// ApplyOrders takes in the orders as they are stored; a nil one is not stored any more. source says
 // who told.
-func (s *Splitter) Put(orders map[identifier.Service]*rollout.Rollout, source string) {
-	var changes []Change
+func (s *Splitter) ApplyOrders(orders map[identifier.Service]*rollout.Rollout, source string) {
+	var changes []PhaseChange
 	s.mu.Lock()
 	now := s.c.Now()
 	for name, r := range orders {
@@ -61,27 +61,27 @@
 	s.tell(changes)
 }
 
-// Known tells whether the orders are known, be there some or none.
-func (s *Splitter) Known() bool {
+// OrdersKnown tells whether the orders are known, be there some or none.
+func (s *Splitter) OrdersKnown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.known
 }
 
-func (s *Splitter) tell(changes []Change) {
+func (s *Splitter) tell(changes []PhaseChange) {
 	for _, c := range changes {
-		s.c.Changed(c)
+		s.c.OnPhaseChange(c)
 	}
 }
 
 // put takes in one order. The caller holds the lock.
-func (s *Splitter) put(r *rollout.Rollout, source string, now time.Time) (Change, bool) {
+func (s *Splitter) put(r *rollout.Rollout, source string, now time.Time) (PhaseChange, bool) {
 	v := s.services[r.Service]
 	switch {
 	case v == nil:
 		v = s.begin(r, now)
 	case r.Revision <= v.order.Revision:
-		return Change{}, false
+		return PhaseChange{}, false
 	case r.OrderID() != v.order.OrderID():
 		before := v
 		v = s.begin(r, now)
@@ -100,7 +100,7 @@
 		}
 		return v.change(before, source, now, 0)
 	}
-	return Change{Service: r.Service, Target: r.Target, Order: r.OrderID(), After: v.phase(), Source: source}, true
+	return PhaseChange{Service: r.Service, Target: r.Target, Order: r.OrderID(), After: v.phase(), Source: source}, true
 }
 
 func (s *Splitter) begin(r *rollout.Rollout, now time.Time) *service {
@@ -113,7 +113,7 @@
 	}
 	if s.known {
 		// A process that starts during an order takes nothing: others were dealt its part.
-		v.earned += slackPart * s.c.Slack / float64(max(s.c.Daemons(), 1))
+		v.earned += slackPart * s.c.CanarySlack / float64(max(s.c.Daemons(), 1))
 	}
 	s.services[r.Service] = v
 	return v
@@ -127,12 +127,12 @@
 	return v.order.Stored
 }
 
-func (v *service) change(before rollout.Phase, source string, now time.Time, age time.Duration) (Change, bool) {
+func (v *service) change(before rollout.Phase, source string, now time.Time, age time.Duration) (PhaseChange, bool) {
 	after := v.phase()
 	if after != before {
 		v.changed = now
 	}
-	return Change{
+	return PhaseChange{
 		Service: v.order.Service, Target: v.order.Target, Order: v.order.OrderID(), Before: before, After: after, Source: source, Age: age,
 	}, after != before
 }
@@ -141,13 +141,13 @@
 type Order struct {
 	// Rollout has the furthest phase that is known.
 	rollout.Rollout
-	// Since is when this daemon learned of it, Granted when the holder last said to go on.
-	Since, Granted time.Time
-	// Ends is when the old endpoints are to end, as the holder said last; zero if none did.
-	Ends time.Time
-	// Asked counts this daemon's requests since then, Earned what is left to spend on trials.
-	Asked  int
-	Earned float64
+	// LearnedAt is when this daemon learned of it, GrantedAt when the holder last said to go on.
+	LearnedAt, GrantedAt time.Time
+	// OldEndAt is when the old endpoints are to end, as the holder said last; zero if none did.
+	OldEndAt time.Time
+	// Requests counts this daemon's requests since then, Earned what is left to spend on trials.
+	Requests  int
+	CanaryBudget float64
 }
 
 // Orders returns the orders as they are known, by service.
@@ -157,10 +157,10 @@
 	var out []Order
 	for _, name := range slices.Sorted(maps.Keys(s.services)) {
 		v := s.services[name]
-		o := Order{Rollout: v.order, Since: v.ordered, Asked: v.asked, Earned: v.earned}
+		o := Order{Rollout: v.order, LearnedAt: v.ordered, Requests: v.asked, CanaryBudget: v.earned}
 		o.Phase = v.phase()
 		if v.grant.Order == o.OrderID() {
-			o.Granted, o.Ends = v.grant.Said, v.grant.Ends
+			o.GrantedAt, o.OldEndAt = v.grant.IssuedAt, v.grant.OldEndAt
 		}
 		out = append(out, o)
 	}
--- a/internal/route/splitter/splitter.go
+++ b/internal/route/splitter/splitter.go
@@ -70,11 +70,11 @@
 
 // Config says what a version that is tried may get.
 type Config struct {
-	// Share of all requests for a service, and Slack requests beyond it.
-	Share float64
-	Slack float64
-	// Leave is the time in which a version that is bad must be left; 0 for any.
-	Leave time.Duration
+	// CanaryShare of all requests for a service, and Slack requests beyond it.
+	CanaryShare float64
+	CanarySlack float64
+	// RollbackTime is the time in which a version that is bad must be left; 0 for any.
+	RollbackTime time.Duration
 	// Now is a clock that goes on while the host is suspended, as those who are told when
 	// the holder spoke; time.Now if nil.
 	Now func() time.Time
@@ -84,21 +84,21 @@
 	Endpoints func(identifier.Service) map[identifier.Version]int
 	// Random draws a number of at least 0 and below 1; the runtime's source if nil.
 	Random func() float64
-	// Changed is told of each change of a phase; may be nil.
-	Changed func(Change)
-	// Counted is told of each answer that counts, of a version that is rolled out (isTarget)
+	// OnPhaseChange is told of each change of a phase; may be nil.
+	OnPhaseChange func(PhaseChange)
+	// OnAnswer is told of each answer that counts, of a version that is rolled out (isTarget)
 	// or another one; may be nil.
-	Counted func(r *Run, isTarget, slow bool)
+	OnAnswer func(r *Run, isTarget, slow bool)
 }
 
-// Ask is a request that is to be sent.
-type Ask struct {
+// Query is a request that is to be sent.
+type Query struct {
 	Service identifier.Service
 	Route   string
-	// Again: it was sent before, or has been decided on.
-	Again bool
-	// Lasts is how long its answer may take.
-	Lasts time.Duration
+	// Repeated: it was sent before, or has been decided on.
+	Repeated bool
+	// MaxDuration is how long its answer may take.
+	MaxDuration time.Duration
 }
 
 // Splitter is safe for concurrent use.
@@ -125,63 +125,63 @@
 	if c.Endpoints == nil {
 		c.Endpoints = func(identifier.Service) map[identifier.Version]int { return nil }
 	}
-	if c.Counted == nil {
-		c.Counted = func(*Run, bool, bool) {}
+	if c.OnAnswer == nil {
+		c.OnAnswer = func(*Run, bool, bool) {}
 	}
-	if c.Changed == nil {
-		c.Changed = func(Change) {}
+	if c.OnPhaseChange == nil {
+		c.OnPhaseChange = func(PhaseChange) {}
 	}
 	return &Splitter{c: c, services: make(map[identifier.Service]*service)}
 }
 
 // Choose says which versions a request may go to.
-func (s *Splitter) Choose(a *Ask) selector.Versions {
+func (s *Splitter) Choose(a *Query) selector.VersionFilter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.services[a.Service]
 	if v == nil {
 		// Whether there are orders is not known yet: then the version that most endpoints have.
-		return selector.Versions{Usual: !s.known}
+		return selector.VersionFilter{MajorityOnly: !s.known}
 	}
 	now := s.c.Now()
-	if !a.Again {
+	if !a.Repeated {
 		s.earn(v, a.Route)
 	}
 	target, old := v.order.Target, v.old()
 	switch p := v.phase(); {
 	case p == rollout.Complete && v.settling(now):
-		return selector.Versions{Only: target}
+		return selector.VersionFilter{Only: target}
 	case p == rollout.Complete:
 		return v.others()
 	case p == rollout.Reverted, !s.granted(v, now):
 		return old
 	case p == rollout.Switching:
-		return selector.Versions{Only: target, Try: true}
-	case a.Again:
+		return selector.VersionFilter{Only: target, AllowFallback: true}
+	case a.Repeated:
 		return old
 	case p == rollout.Moving && v.outlasts(a, now) && v.moves+v.earned >= 1:
 		// What is left of the trials is spent, too: there are enough by now.
 		v.moves--
-		return selector.Versions{Only: target, Try: true}
+		return selector.VersionFilter{Only: target, AllowFallback: true}
 	case p >= rollout.Trying && s.tries(v, a, now):
 		v.earned--
-		return selector.Versions{Only: target, Few: s.few(v), Try: true}
+		return selector.VersionFilter{Only: target, MaxEndpoints: s.few(v), AllowFallback: true}
 	}
 	return old
 }
 
 // old are the versions that were there before.
-func (v *service) old() selector.Versions {
+func (v *service) old() selector.VersionFilter {
 	out := v.others()
-	out.Without = append(out.Without, v.order.Target)
+	out.Except = append(out.Except, v.order.Target)
 	return out
 }
 
 // others are all versions but those of earlier orders that did not become complete.
-func (v *service) others() selector.Versions {
-	out := selector.Versions{}
+func (v *service) others() selector.VersionFilter {
+	out := selector.VersionFilter{}
 	for version := range v.left {
-		out.Without = append(out.Without, version)
+		out.Except = append(out.Except, version)
 	}
 	return out
 }
@@ -207,7 +207,7 @@
 // shares are the parts of all requests that may try the version, and that may move to it
 // before all do.
 func (s *Splitter) shares(v *service) (tries, moves float64) {
-	left := s.c.Share - shareMargin - v.order.CutoverLead(s.c.Share).Seconds()/v.order.Duration.Seconds()
+	left := s.c.CanaryShare - shareMargin - v.order.CutoverLead(s.c.CanaryShare).Seconds()/v.order.Duration.Seconds()
 	all := v.perSecond(s.c.Now()) * float64(max(s.c.Daemons(), 1)) * v.order.Duration.Seconds()
 	tries = max(min(enoughTries/max(all, 1), tryPart*left), leastTries)
 	return tries, max(left-tries, 0)
@@ -219,7 +219,7 @@
 }
 
 // tries tells whether a request is one of those that try the version: as many of each route.
-func (s *Splitter) tries(v *service, a *Ask, now time.Time) bool {
+func (s *Splitter) tries(v *service, a *Query, now time.Time) bool {
 	if v.earned < 1 || v.moves+v.earned < 1 {
 		return false
 	}
@@ -238,20 +238,20 @@
 }
 
 // outlasts tells whether a request may still run when the old endpoints end.
-func (v *service) outlasts(a *Ask, now time.Time) bool {
-	return now.Add(a.Lasts).After(v.grant.Ends)
+func (v *service) outlasts(a *Query, now time.Time) bool {
+	return now.Add(a.MaxDuration).After(v.grant.OldEndAt)
 }
 
 // Fallback gives back what a request was granted that found no endpoint of the version, and
 // says where else it may go.
-func (s *Splitter) Fallback(name identifier.Service, granted *selector.Versions) selector.Versions {
+func (s *Splitter) Fallback(name identifier.Service, granted *selector.VersionFilter) selector.VersionFilter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.services[name]
 	if v == nil {
-		return selector.Versions{}
+		return selector.VersionFilter{}
 	}
-	if granted.Few > 0 {
+	if granted.MaxEndpoints > 0 {
 		v.earned++
 	}
 	return v.old()
@@ -273,8 +273,8 @@
 	return p != rollout.Complete && (p == rollout.Reverted || p == rollout.Ordered || !s.granted(v, s.c.Now()))
 }
 
-// Counts tells whether endpoints of a version count for the size of a service.
-func (s *Splitter) Counts(name identifier.Service, version identifier.Version) bool {
+// CountsTowardsSize tells whether endpoints of a version count for the size of a service.
+func (s *Splitter) CountsTowardsSize(name identifier.Service, version identifier.Version) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	v := s.services[name]
--- a/internal/route/splitter/splitter_test.go
+++ b/internal/route/splitter/splitter_test.go
@@ -24,12 +24,12 @@
 	d := &daemons{now: time.Unix(1e9, 0), r: &rollout.Rollout{Service: lm, Target: "v2", Duration: 30 * time.Second, Revision: 1}}
 	for range n {
 		s := New(Config{
-			Share: 0.1, Slack: 50, Leave: 5 * time.Second, Daemons: func() int { return n }, Now: func() time.Time { return d.now }, Random: random,
+			CanaryShare: 0.1, CanarySlack: 50, RollbackTime: 5 * time.Second, Daemons: func() int { return n }, Now: func() time.Time { return d.now }, Random: random,
 			Endpoints: func(identifier.Service) map[identifier.Version]int {
 				return map[identifier.Version]int{"v1": 40, "v2": 40}
 			},
 		})
-		s.Put(nil, "store")
+		s.ApplyOrders(nil, "store")
 		d.list = append(d.list, s)
 	}
 	return d
@@ -37,11 +37,11 @@
 
 func (d *daemons) put(s *Splitter) {
 	r := *d.r
-	s.Put(map[identifier.Service]*rollout.Rollout{lm: &r}, "store")
+	s.ApplyOrders(map[identifier.Service]*rollout.Rollout{lm: &r}, "store")
 }
 
-func ask(s *Splitter) selector.Versions {
-	return s.Choose(&Ask{Service: lm, Route: "letters", Lasts: time.Second})
+func ask(s *Splitter) selector.VersionFilter {
+	return s.Choose(&Query{Service: lm, Route: "letters", MaxDuration: time.Second})
 }
 
 // News of an order comes late, twice, in any order and from holders that succeed each other,
@@ -68,13 +68,13 @@
 			case 0:
 				beat++
 				fencing := uint64(1 + rapid.IntRange(0, 1).Draw(t, "holder"))
-				said = append(said, Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: phase, Fencing: fencing, Beat: beat, Said: d.now, Ends: d.now.Add(time.Minute)})
+				said = append(said, Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: phase, Fencing: fencing, Sequence: beat, IssuedAt: d.now, OldEndAt: d.now.Add(time.Minute)})
 			case 1, 2:
 				if len(said) > 0 {
 					g := said[rapid.IntRange(0, len(said)-1).Draw(t, "news")]
-					s.Hear(&g, "peer")
-					if g.Said.After(last[i]) {
-						last[i] = g.Said
+					s.ApplyGrant(&g, "peer")
+					if g.IssuedAt.After(last[i]) {
+						last[i] = g.IssuedAt
 					}
 					if g.Phase.IsFinal() {
 						final[i] = g.Phase
@@ -112,11 +112,11 @@
 func TestOrdersThatFollowEachOther(t *testing.T) {
 	d := newDaemons(1, func() float64 { return 0.5 })
 	s := d.list[0]
-	if v := ask(s); v.Only != "" || len(v.Without) > 0 {
+	if v := ask(s); v.Only != "" || len(v.Except) > 0 {
 		t.Errorf("%+v without any order", v)
 	}
 	d.put(s)
-	if v := ask(s); len(v.Without) != 1 || v.Without[0] != "v2" || !s.Blocked(lm, "v2") {
+	if v := ask(s); len(v.Except) != 1 || v.Except[0] != "v2" || !s.Blocked(lm, "v2") {
 		t.Errorf("%+v after the order", v)
 	}
 	d.r.Revision, d.r.Stored = 2, rollout.Reverted
@@ -136,7 +136,7 @@
 	}
 	d.r.Revision, d.r.Stored, d.r.Target = 5, rollout.Ordered, "v3"
 	d.put(s)
-	if v := ask(s); len(v.Without) != 2 || !s.Blocked(lm, "v2") || !s.Blocked(lm, "v3") || s.Blocked(lm, "v1") {
+	if v := ask(s); len(v.Except) != 2 || !s.Blocked(lm, "v2") || !s.Blocked(lm, "v3") || s.Blocked(lm, "v1") {
 		t.Errorf("%+v after an order of another version", v)
 	}
 }
@@ -149,11 +149,11 @@
 	d.put(s)
 	d.r.Revision, d.r.Stored = 2, rollout.Complete
 	d.put(s)
-	if v := ask(s); v.Only != "v2" || s.Counts(lm, "v1") || !s.Counts(lm, "v2") {
+	if v := ask(s); v.Only != "v2" || s.CountsTowardsSize(lm, "v1") || !s.CountsTowardsSize(lm, "v2") {
 		t.Errorf("%+v at once", v)
 	}
 	d.now = d.now.Add(listTime)
-	if v := ask(s); v.Only != "" || len(v.Without) > 0 || !s.Counts(lm, "v1") {
+	if v := ask(s); v.Only != "" || len(v.Except) > 0 || !s.CountsTowardsSize(lm, "v1") {
 		t.Errorf("%+v later", v)
 	}
 }
@@ -164,8 +164,8 @@
 	d := newDaemons(1, func() float64 { return 0 })
 	s := d.list[0]
 	d.put(s)
-	g := Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: rollout.Trying, Fencing: 1, Beat: 1, Said: d.now, Ends: d.now.Add(time.Minute)}
-	s.Hear(&g, "holder")
+	g := Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: rollout.Trying, Fencing: 1, Sequence: 1, IssuedAt: d.now, OldEndAt: d.now.Add(time.Minute)}
+	s.ApplyGrant(&g, "holder")
 	for range 200 {
 		if ask(s).Only == "v2" {
 			break
@@ -174,8 +174,8 @@
 	if s.Blocked(lm, "v2") {
 		t.Error("barred while it is tried")
 	}
-	g.Phase, g.Beat = rollout.Reverted, 2
-	s.Hear(&g, "holder")
+	g.Phase, g.Sequence = rollout.Reverted, 2
+	s.ApplyGrant(&g, "holder")
 	if !s.Blocked(lm, "v2") {
 		t.Error("not barred after it was reverted")
 	}
--- a/internal/route/splitter/tally.go
+++ b/internal/route/splitter/tally.go
@@ -26,8 +26,8 @@
 
 // The outcomes.
 const (
-	// Void says nothing of the version: not run, or the client left.
-	Void Outcome = iota
+	// Inconclusive says nothing of the version: not run, or the client left.
+	Inconclusive Outcome = iota
 	Answered
 	Failed
 )
@@ -60,15 +60,15 @@
 	Endpoint identifier.Endpoint
 	Version  identifier.Version
 	Outcome  Outcome
-	// Took is how long the answer took, Expected how long answers of its size are expected to;
+	// Elapsed is how long the answer took, Expected how long answers of its size are expected to;
 	// 0 if all of the route are alike.
-	Took, Expected time.Duration
+	Elapsed, Expected time.Duration
 	// Cold: the endpoint is slow as it has just started.
 	Cold bool
 	// counted is the order for which it was counted as sent.
 	counted uint64
-	// Left: the client did not wait for the end, so that only a slow answer counts.
-	Left bool
+	// Abandoned: the client did not wait for the end, so that only a slow answer counts.
+	Abandoned bool
 }
 
 // RunStarted counts a request that is sent, and tells whether it counts: whether Ended is to be told
@@ -94,7 +94,7 @@
 		return
 	}
 	t.Ended++
-	if r.Outcome == Void {
+	if r.Outcome == Inconclusive {
 		return
 	}
 	slow := r.Outcome == Answered && !r.Cold && v.slow(r)
@@ -103,11 +103,11 @@
 		t.Failed++
 	case slow:
 		t.Slow++
-	case r.Left:
+	case r.Abandoned:
 		return
 	}
 	t.Answers++
-	s.c.Counted(r, r.Version == v.order.Target, slow)
+	s.c.OnAnswer(r, r.Version == v.order.Target, slow)
 }
 
 // tally returns where a run counts, nil if it does not. The caller holds the lock.
@@ -146,13 +146,13 @@
 	u := v.usual[r.Route]
 	known := u.answers >= usualAnswers
 	limit := time.Duration(farTooSlow*math.Exp(u.log)*float64(expected)) + slowMargin
-	if r.Version != v.order.Target && !r.Left {
+	if r.Version != v.order.Target && !r.Abandoned {
 		u.answers++
 		weight := max(usualWeight, 1/float64(u.answers))
-		u.log += weight * (math.Log(max(r.Took.Seconds()/expected.Seconds(), 1e-6)) - u.log)
+		u.log += weight * (math.Log(max(r.Elapsed.Seconds()/expected.Seconds(), 1e-6)) - u.log)
 		v.usual[r.Route] = u
 	}
-	return known && r.Took > limit
+	return known && r.Elapsed > limit
 }
 
 // Tallies returns what this daemon has counted of all orders that are under way.
--- a/internal/serve/forwarder/forwarder.go
+++ b/internal/serve/forwarder/forwarder.go
@@ -172,7 +172,7 @@
 	}
 	defer resp.Body.Close()
 	if d := state.Backoff(); d > 0 {
-		f.c.Registry.Rest(pick, d)
+		f.c.Registry.BackOff(pick, d)
 	}
 	if resp.Header.Get("Not-Run") == "true" {
 		return nil, fmt.Errorf("%w (status %d)", caller.ErrNotRun, resp.StatusCode)
--- a/internal/serve/forwarder/forwarder_test.go
+++ b/internal/serve/forwarder/forwarder_test.go
@@ -18,8 +18,8 @@
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/engine/caller"
 	"brasschute/internal/engine/frame"
-	"brasschute/internal/peer/ledger"
-	"brasschute/internal/peer/reporter"
+	"brasschute/internal/peer/membertracker"
+	"brasschute/internal/peer/crashreporter"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/route/budgeter"
@@ -37,13 +37,13 @@
 // refuses connections from then on.
 type mortal struct {
 	registry *registry.Registry
-	reporter *reporter.Reporter
+	reporter *crashreporter.Reporter
 	ended    atomic.Int32
 }
 
 func newMortal(t *testing.T, endpoints int) *mortal {
 	t.Helper()
-	m := &mortal{registry: registry.New(registry.Config{Ledger: ledger.New(ledger.Config{Self: &rpc.Member{Host: "entry-1"}})})}
+	m := &mortal{registry: registry.New(registry.Config{LeavingHosts: membertracker.New(membertracker.Config{Self: &rpc.Member{Host: "entry-1"}})})}
 	for i := range endpoints {
 		var server *httptest.Server
 		server = httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
@@ -55,13 +55,13 @@
 		server.Start()
 		t.Cleanup(server.CloseClientConnections)
 		id := fmt.Sprintf("endpoint-%d", i)
-		m.registry.Put(map[string]*inventory.Host{id: {
+		m.registry.UpdateHosts(map[string]*inventory.Host{id: {
 			Host: identifier.Host(id), State: inventory.StateLive, AvailabilityZone: "zone-1",
 			Endpoints: []inventory.Endpoint{{Endpoint: identifier.Endpoint(id), Address: server.Listener.Addr().String(), Pool: "pool"}},
 		}})
 	}
-	m.reporter = reporter.New(reporter.Config{
-		Host: "entry-1", Dialer: &net.Dialer{}, Leaving: m.registry.Leaving, Spread: func(bool) {},
+	m.reporter = crashreporter.New(crashreporter.Config{
+		Host: "entry-1", Dialer: &net.Dialer{}, Leaving: m.registry.Leaving, OnNews: func(bool) {},
 		Logger: log.New(io.Discard), Metrics: tally.NoopScope,
 	})
 	return m
--- a/internal/serve/forwarder/rest_test.go
+++ b/internal/serve/forwarder/rest_test.go
@@ -24,7 +24,7 @@
 			serve := func(id string, handler http.HandlerFunc) {
 				server := httptest.NewServer(handler)
 				t.Cleanup(server.Close)
-				m.registry.Put(map[string]*inventory.Host{id: {
+				m.registry.UpdateHosts(map[string]*inventory.Host{id: {
 					Host: identifier.Host(id), State: inventory.StateLive, AvailabilityZone: "zone-1",
 					Endpoints: []inventory.Endpoint{{Endpoint: identifier.Endpoint(id), Address: server.Listener.Addr().String(), Pool: "pool"}},
 				}})
--- a/internal/serve/handler/decision.go
+++ b/internal/serve/handler/decision.go
@@ -57,7 +57,7 @@
 }
 
 func (h *Handler) facts(c *call.Call) *compiler.Facts {
-	slots := h.c.Registry.Slots(c.Pool.Name, c.Pool.MaxInFlight)
+	slots := h.c.Registry.Capacity(c.Pool.Name, c.Pool.MaxInFlight)
 	now := time.Now()
 	f := &compiler.Facts{
 		Organisation: string(c.Organisation.Name), Service: string(c.Service.Name), Kind: string(c.Service.Kind),
@@ -104,9 +104,9 @@
 	begun := time.Now()
 	release, err := h.c.Limiter.Acquire(ctx, &limiter.Ticket{
 		Organisation: c.Organisation.Name, Pool: c.Pool.Name, Rank: c.Plan.PriorityRank(c.Priority),
-		Limit: limiter.Share(c.Organisation.Concurrency, h.c.Registry.Zones(), h.c.Daemons.AliveInZone(h.c.Zone)),
+		Limit: limiter.Share(c.Organisation.Concurrency, h.c.Registry.ZoneCount(), h.c.Daemons.AliveInZone(h.c.Zone)),
 		Queue: c.Organisation.Queue,
-		Slots: max(h.c.Registry.Slots(c.Pool.Name, c.Pool.MaxInFlight), 1),
+		Slots: max(h.c.Registry.Capacity(c.Pool.Name, c.Pool.MaxInFlight), 1),
 	})
 	rec.WaitedMS = float64(time.Since(begun).Microseconds()) / 1000
 	var refused *limiter.RefusedError
--- a/internal/serve/placer/placer.go
+++ b/internal/serve/placer/placer.go
@@ -78,7 +78,7 @@
 
 // Place chooses an endpoint for a request and counts the request there. The
 // pick is nil if none can serve; decision says why.
-func (p *Placer) Place(q *request.Request, s *catalog.Service, tried []identifier.Endpoint, v selector.Versions) (*registry.Pick, selector.Decision) {
+func (p *Placer) Place(q *request.Request, s *catalog.Service, tried []identifier.Endpoint, v selector.VersionFilter) (*registry.Pick, selector.Decision) {
 	now := time.Now()
 	blocks, sizes := parts(q)
 	query := &registry.Query{
@@ -86,9 +86,9 @@
 		Select: selector.Query{
 			Now: now, Seed: streamer.RoutingSeed(q.ID), Zone: p.c.Zone, PromptTokens: q.PromptTokens, OutputTokens: q.OutputTokens,
 			MaxInFlight: plainSlots, Target: max(q.Route.FirstEventObjective-now.Sub(q.Received), time.Millisecond),
-			Prefill: int(p.c.Estimator.Estimate(q.Service, now).Speed), Decode: int(time.Second / p.c.Estimator.TokenInterval(q.Service)),
+			PrefillRate: int(p.c.Estimator.Estimate(q.Service, now).Speed), DecodeRate: int(time.Second / p.c.Estimator.TokenInterval(q.Service)),
 			RecomputeWeight: recomputeWeight, Tried: tried, Versions: v, LateCost: lateCost(q),
-			ZoneCost: zoneCostPerByte * float64(len(q.Body)+eventBytes*int(q.OutputTokens)/tokensPerEvent(s)),
+			CrossZoneCost: zoneCostPerByte * float64(len(q.Body)+eventBytes*int(q.OutputTokens)/tokensPerEvent(s)),
 		},
 	}
 	if s != nil && s.Engine != nil {
@@ -97,18 +97,18 @@
 	}
 	// The last block names all shared parts.
 	if n := len(blocks); n > 0 && sizes[n-1] >= homeTokens {
-		query.Select.Prefix, query.Select.Known = uint64(blocks[n-1]), sizes[n-1]
+		query.Select.Prefix, query.Select.PriorTokens = uint64(blocks[n-1]), sizes[n-1]
 	}
 	return p.c.Registry.Choose(query)
 }
 
 // ObserveFirstEvent takes in how long a pick took to its first event, or to its answer.
 func (p *Placer) ObserveFirstEvent(q *request.Request, k *registry.Pick, took time.Duration) {
-	p.c.Registry.Observe(k, took)
+	p.c.Registry.ObserveFirstToken(k, took)
 	if !q.HasTokenCounts {
 		return
 	}
-	p.c.Estimator.ObserveFirstEvent(q.Service, estimator.Observation{Uncached: k.Uncached, TokensAhead: k.Ahead, Streams: k.Streams, Took: took})
+	p.c.Estimator.ObserveFirstEvent(q.Service, estimator.Observation{Uncached: k.UncachedTokens, TokensAhead: k.TokensAhead, Streams: k.Streams, Took: took})
 }
 
 // ObserveStream takes in a stream that has ended, from its first event to its last.
@@ -122,7 +122,7 @@
 	if !q.HasTokenCounts {
 		return 0
 	}
-	return k.Usual + time.Duration(events*tokensPerEvent(s))*p.c.Estimator.TokenInterval(q.Service)
+	return k.NominalFirstToken + time.Duration(events*tokensPerEvent(s))*p.c.Estimator.TokenInterval(q.Service)
 }
 
 // MaxUsualDuration is how long an answer may take at the most that is usual.
--- a/internal/serve/relayer/attempt.go
+++ b/internal/serve/relayer/attempt.go
@@ -58,7 +58,7 @@
 		result = j.judge(ctx, outer, err, begun)
 		err = ownCause(ctx, err)
 		if unsent(err) {
-			j.r.c.Registry.Unsent(pick)
+			j.r.c.Registry.ReturnPermit(pick)
 			j.unsent++
 		} else {
 			j.sends++
@@ -155,7 +155,7 @@
 		// Connecting takes time; an endpoint that began to leave meanwhile must
 		// not get the request any more, nor any endpoint one that came to be held.
 		Ready: func() bool {
-			return j.r.c.Registry.Usable(pick) && !j.admit().Held && !j.r.c.Versions.Blocked(j.q.Service, pick.Version) && j.r.c.Registry.Due(pick)
+			return j.r.c.Registry.Usable(pick) && !j.admit().Held && !j.r.c.Versions.Blocked(j.q.Service, pick.Version) && j.r.c.Registry.AcquirePermit(pick)
 		},
 		Matches: func(h http.Header) bool {
 			id := codec.DecodeReply(0, h).ID
--- a/internal/serve/relayer/ending.go
+++ b/internal/serve/relayer/ending.go
@@ -85,11 +85,11 @@
 // back.
 func (j *job) nobody(x *selector.Excluded) (reason string, after time.Duration) {
 	const none = "no endpoint can serve"
-	if x.Limited+x.Resting == 0 {
+	if x.Limited+x.BackingOff == 0 {
 		return none, shortage
 	}
-	reason = fmt.Sprintf("%s: %d take nothing more now, %d want rest", none, x.Limited, x.Resting)
-	next := j.r.c.Registry.NextTurn(identifier.Pool(j.q.Service))
+	reason = fmt.Sprintf("%s: %d take nothing more now, %d want rest", none, x.Limited, x.BackingOff)
+	next := j.r.c.Registry.NextAvailable(identifier.Pool(j.q.Service))
 	if next.IsZero() {
 		return reason, shortage
 	}
--- a/internal/serve/relayer/relayer.go
+++ b/internal/serve/relayer/relayer.go
@@ -37,7 +37,7 @@
 	"brasschute/internal/config/catalog"
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/engine/sender"
-	"brasschute/internal/peer/reporter"
+	"brasschute/internal/peer/crashreporter"
 	"brasschute/internal/route/shedder"
 	"brasschute/internal/route/quarantiner"
 	"brasschute/internal/route/registry"
@@ -110,9 +110,9 @@
 
 // Versions says which version of its service's endpoints a request may go to.
 type Versions interface {
-	Choose(a *splitter.Ask) selector.Versions
+	Choose(a *splitter.Query) selector.VersionFilter
 	// Fallback is asked where no endpoint that was chosen from can serve.
-	Fallback(s identifier.Service, v *selector.Versions) selector.Versions
+	Fallback(s identifier.Service, v *selector.VersionFilter) selector.VersionFilter
 	// Blocked is asked right before each send.
 	Blocked(s identifier.Service, v identifier.Version) bool
 	// Sent is told of each run, Ended of those that count.
@@ -127,7 +127,7 @@
 	// Track notes an attempt that withdraw ends, until leave is called.
 	Track(f identifier.Fingerprint, withdraw func()) (leave func())
 	// ReportBreak is told of each attempt that an endpoint broke off.
-	ReportBreak(ctx context.Context, b *reporter.Break)
+	ReportBreak(ctx context.Context, b *crashreporter.BrokenRequest)
 	// Answered is told of each request that an endpoint has run to its end.
 	Answered(f identifier.Fingerprint)
 }
@@ -259,7 +259,7 @@
 		}
 		if brokenOff(ctx, err) {
 			j.res.Fingerprint = q.Fingerprint()
-			r.c.Quarantine.ReportBreak(ctx, &reporter.Break{Fingerprint: q.Fingerprint(), Request: q.ID, Pick: pick, Events: j.res.Events - events})
+			r.c.Quarantine.ReportBreak(ctx, &crashreporter.BrokenRequest{Fingerprint: q.Fingerprint(), Request: q.ID, Pick: pick, Events: j.res.Events - events})
 		}
 		if j.final(ctx, err) {
 			return j.res
@@ -288,9 +288,9 @@
 		return nil, true
 	}
 	if v := j.forecast(pick); v.Refuse {
-		j.r.c.Registry.Withdraw(pick)
+		j.r.c.Registry.Cancel(pick)
 		j.r.c.Demand.CountRefused(j.q.Service)
-		j.giveUp(fmt.Sprintf("%s: %s of queue, bearable %s", reasonTooLate, pick.Wait().Round(time.Millisecond), v.MaxDelay.Round(time.Millisecond)), v.RetryAfter)
+		j.giveUp(fmt.Sprintf("%s: %s of queue, bearable %s", reasonTooLate, pick.PredictedWait().Round(time.Millisecond), v.MaxDelay.Round(time.Millisecond)), v.RetryAfter)
 		return nil, true
 	}
 	j.res.Attempts = append(j.res.Attempts, Attempt{
@@ -308,6 +308,6 @@
 		return shedder.Decision{}
 	}
 	return shedder.Decide(&shedder.Input{
-		Route: j.q.Route, Rank: j.q.Rank(), QueueDelay: pick.Wait(), Waited: time.Since(j.q.Received), Remaining: time.Until(j.q.Deadline()),
+		Route: j.q.Route, Rank: j.q.Rank(), QueueDelay: pick.PredictedWait(), Waited: time.Since(j.q.Received), Remaining: time.Until(j.q.Deadline()),
 	})
 }
--- a/internal/serve/relayer/stream.go
+++ b/internal/serve/relayer/stream.go
@@ -29,17 +29,17 @@
 	var first time.Time
 	defer func() {
 		if !first.IsZero() {
-			pick.Pulse.End()
+			pick.Activity.EndStream()
 		}
 	}()
 	for {
 		n, err := x.Body.Read(chunk)
 		if n > 0 {
 			now := time.Now()
-			pick.Pulse.Beat(now)
+			pick.Activity.RecordEvent(now)
 			if first.IsZero() {
 				first = now
-				pick.Pulse.Begin()
+				pick.Activity.BeginStream()
 			}
 		}
 		buffer = append(buffer, chunk[:n]...)
--- a/internal/serve/streamer/active.go
+++ b/internal/serve/streamer/active.go
@@ -27,7 +27,7 @@
 func (t *timed) WriteFrame(f *frame.Frame) error {
 	if !t.told {
 		t.told = true
-		t.s.c.Registry.Observe(t.pick, time.Since(t.begun))
+		t.s.c.Registry.ObserveFirstToken(t.pick, time.Since(t.begun))
 	}
 	return t.Sink.WriteFrame(f)
 }
--- a/internal/serve/streamer/explain.go
+++ b/internal/serve/streamer/explain.go
@@ -21,8 +21,8 @@
 		note.Why = "cheapest of those predicted to meet the target"
 	}
 	note.Chosen = alternative(&d.Chosen)
-	for i := range d.Others {
-		note.Alternatives = append(note.Alternatives, alternative(&d.Best[i]))
+	for i := range d.AlternativeCount {
+		note.Alternatives = append(note.Alternatives, alternative(&d.Alternatives[i]))
 	}
 }
 
--- a/internal/serve/streamer/open.go
+++ b/internal/serve/streamer/open.go
@@ -62,7 +62,7 @@
 // notOpened notes what a failed opening allows next.
 func (s *Streamer) notOpened(ctx context.Context, j *Job, pick *registry.Pick, state *caller.Attempt, err error) registry.Result {
 	if d := state.Backoff(); d > 0 {
-		s.c.Registry.Rest(pick, d)
+		s.c.Registry.BackOff(pick, d)
 	}
 	refused := errors.Is(err, caller.ErrNotRun) || errors.Is(err, caller.ErrStreamNotFound)
 	sent := state.State() != caller.Unsent && !refused
--- a/internal/serve/streamer/quarantine.go
+++ b/internal/serve/streamer/quarantine.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/peer/reporter"
+	"brasschute/internal/peer/crashreporter"
 	"brasschute/internal/route/quarantiner"
 	"brasschute/internal/route/registry"
 	"brasschute/internal/serve/call"
@@ -16,7 +16,7 @@
 	// Admit decides right before each send.
 	Admit(f identifier.Fingerprint, id identifier.Request) quarantiner.Verdict
 	// ReportBreak is told of each attempt that an endpoint broke off.
-	ReportBreak(ctx context.Context, b *reporter.Break)
+	ReportBreak(ctx context.Context, b *crashreporter.BrokenRequest)
 	// Answered is told of each request that an endpoint has run to its end.
 	Answered(f identifier.Fingerprint)
 }
@@ -31,6 +31,6 @@
 }
 
 // NewBreak describes a call that an endpoint broke off.
-func NewBreak(c *call.Call, pick *registry.Pick, brought int) *reporter.Break {
-	return &reporter.Break{Fingerprint: c.Fingerprint(), Request: c.Request, Pick: pick, Events: brought}
+func NewBreak(c *call.Call, pick *registry.Pick, brought int) *crashreporter.BrokenRequest {
+	return &crashreporter.BrokenRequest{Fingerprint: c.Fingerprint(), Request: c.Request, Pick: pick, Events: brought}
 }
--- a/internal/serve/streamer/query.go
+++ b/internal/serve/streamer/query.go
@@ -12,8 +12,8 @@
 func NewQuery(c *call.Call, zone identifier.AvailabilityZone, tried []identifier.Endpoint) selector.Query {
 	return selector.Query{
 		Now: time.Now(), Seed: RoutingSeed(c.Instance), Zone: zone, Zones: c.Zones, Model: c.Pool.Model,
-		PromptTokens: c.PromptTokens, Known: c.PriorTokens, Prefix: c.Conversation, OutputTokens: c.MaxTokens, MaxInFlight: c.Pool.MaxInFlight, Slots: c.Pool.Slots,
-		Prefill: c.Pool.PrefillPerSecond, Decode: c.Pool.DecodePerSecond,
+		PromptTokens: c.PromptTokens, PriorTokens: c.PriorTokens, Prefix: c.Conversation, OutputTokens: c.MaxTokens, MaxInFlight: c.Pool.MaxInFlight, Slots: c.Pool.Slots,
+		PrefillRate: c.Pool.PrefillPerSecond, DecodeRate: c.Pool.DecodePerSecond,
 		Target: c.Plan.Configuration.Routing.FirstToken.Std(), RecomputeWeight: c.Plan.Configuration.Routing.RecomputeWeight,
 		Tried: tried,
 	}
--- a/internal/serve/streamer/streamer.go
+++ b/internal/serve/streamer/streamer.go
@@ -283,7 +283,7 @@
 	if j.Stream == "" || j.moving || j.away || contains(j.tried, j.Endpoint) {
 		return nil
 	}
-	pick := s.c.Registry.Take(j.Endpoint)
+	pick := s.c.Registry.PickEndpoint(j.Endpoint)
 	if pick == nil {
 		return nil
 	}
--- a/internal/serve/transferrer/carrier.go
+++ b/internal/serve/transferrer/carrier.go
@@ -27,8 +27,8 @@
 	"time"
 
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/peer/holder"
-	"brasschute/internal/peer/ledger"
+	"brasschute/internal/peer/retainer"
+	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/platform/object"
@@ -44,8 +44,8 @@
 
 // Config names the carrier's collaborators.
 type Config struct {
-	Ledger *ledger.Ledger
-	Holder *holder.Holder
+	Ledger *membertracker.Tracker
+	Holder *retainer.Retainer
 	// Peer returns a client for a peer's address.
 	Peer func(address string) rpc.Peer
 	// Store keeps held answers.
