--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -20,7 +20,7 @@
 
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/fault/injector"
-	"brasschute/internal/ops/explainer"
+	"brasschute/internal/ops/printer"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/serve/recorder"
@@ -298,7 +298,7 @@
 OperatorKeys: [{Name: alex, KeyHash: %s}]
 %s
 `, d.host, zoneName(zone), d.callers, d.operators, peers, d.peers.Address(), f.proxy.Address(), peerKey,
-		explainer.Hash(operatorKey), strings.Join(extra, "\n"))
+		printer.Hash(operatorKey), strings.Join(extra, "\n"))
 	if !strings.Contains(text, "Drain:") {
 		text += "Drain: {BalancerLag: 10ms, Patience: 20s}\n"
 	}
@@ -340,7 +340,7 @@
 	return start(f.t, "brasschute", name, "controller", "--settings", file)
 }
 
-func (d *daemon) operator() rpc.Operator { return explainer.Client(d.operators, operatorKey) }
+func (d *daemon) operator() rpc.Operator { return printer.Client(d.operators, operatorKey) }
 
 func (d *daemon) status() (*rpc.StatusReply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -507,7 +507,7 @@
   - {AvailabilityZone: zone-1, Class: reclaimable, PerHour: 1}
   - {AvailabilityZone: zone-2, Class: reclaimable, PerHour: 1}
 Routing: {FirstToken: 330ms, RecomputeWeight: 0.01}
-`, explainer.Hash(callerKeys["desk"]), explainer.Hash(callerKeys["branch"]), strings.Join(rules, ", "))
+`, printer.Hash(callerKeys["desk"]), printer.Hash(callerKeys["branch"]), strings.Join(rules, ", "))
 }
 
 // reply is a whole response.
--- a/integration/repair_test.go
+++ b/integration/repair_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"brasschute/internal/ops/explainer"
+	"brasschute/internal/ops/printer"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/standin/platform"
 )
@@ -93,7 +93,7 @@
 		t.Fatalf("%v %v", one, err)
 	}
 	var text bytes.Buffer
-	explainer.New(&text).Audit(one)
+	printer.New(&text).Audit(one)
 	if !strings.Contains(text.String(), "the pool is short") {
 		t.Fatal(text.String())
 	}
--- a/internal/core/uptimer/uptimer.go
+++ b/internal/core/bootclock/bootclock.go
@@ -11,7 +11,7 @@
 //
 //	now := uptimer.Now()
 //	if uptimer.Now().Before(until) { ... }
-package uptimer
+package bootclock
 
 import (
 	"time"
--- a/internal/core/chronometer/chronometer.go
+++ b/internal/core/chronometer/chronometer.go
@@ -22,7 +22,7 @@
 	"time"
 
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/core/uptimer"
+	"brasschute/internal/core/bootclock"
 )
 
 const (
@@ -39,7 +39,7 @@
 type Config struct {
 	// Wall is read once; time.Now if nil. Steady is uptimer.Now if nil.
 	Wall   func() time.Time
-	Steady func() time.Time
+	Monotonic func() time.Time
 }
 
 type sample struct {
@@ -62,10 +62,10 @@
 	if c.Wall == nil {
 		c.Wall = time.Now
 	}
-	if c.Steady == nil {
-		c.Steady = uptimer.Now
+	if c.Monotonic == nil {
+		c.Monotonic = bootclock.Now
 	}
-	return &Chronometer{steady: c.Steady, wall: c.Wall().Round(0), base: c.Steady(), seen: make(map[identifier.Host]sample)}
+	return &Chronometer{steady: c.Monotonic, wall: c.Wall().Round(0), base: c.Monotonic(), seen: make(map[identifier.Host]sample)}
 }
 
 // Now returns the estimate.
@@ -77,8 +77,8 @@
 
 func (c *Chronometer) now() time.Time { return c.wall.Add(c.steady().Sub(c.base)) }
 
-// Heard takes in a peer's estimate at this moment.
-func (c *Chronometer) Heard(peer identifier.Host, theirs time.Time) {
+// Observe takes in a peer's estimate at this moment.
+func (c *Chronometer) Observe(peer identifier.Host, theirs time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.steady()
--- a/internal/core/chronometer/chronometer_test.go
+++ b/internal/core/chronometer/chronometer_test.go
@@ -15,7 +15,7 @@
 }
 
 func (c *clocks) chronometer() *Chronometer {
-	return New(Config{Wall: func() time.Time { return c.truth.Add(c.jump) }, Steady: func() time.Time { return c.truth }})
+	return New(Config{Wall: func() time.Time { return c.truth.Add(c.jump) }, Monotonic: func() time.Time { return c.truth }})
 }
 
 // The time of day jumps by two seconds on some hosts while daemons run, and
@@ -33,7 +33,7 @@
 		t.Fatalf("off by %v before it has heard anyone", off)
 	}
 	for n := range 4 {
-		late.Heard(identifier.Host(fmt.Sprint(n)), c.truth)
+		late.Observe(identifier.Host(fmt.Sprint(n)), c.truth)
 	}
 	if off := late.Now().Sub(c.truth).Abs(); off > tolerance {
 		t.Errorf("off by %v after four peers", off)
@@ -43,9 +43,9 @@
 func TestOneWrongPeerChangesNothing(t *testing.T) {
 	c := &clocks{truth: time.Unix(1_000_000, 0)}
 	m := c.chronometer()
-	m.Heard("wrong", c.truth.Add(time.Hour))
-	m.Heard("right", c.truth)
-	m.Heard("other", c.truth.Add(time.Millisecond))
+	m.Observe("wrong", c.truth.Add(time.Hour))
+	m.Observe("right", c.truth)
+	m.Observe("other", c.truth.Add(time.Millisecond))
 	if off := m.Now().Sub(c.truth).Abs(); off > tolerance {
 		t.Errorf("off by %v", off)
 	}
--- a/internal/core/packer/packer.go
+++ b/internal/core/compressor/compressor.go
@@ -9,7 +9,7 @@
 //	var p packer.Packer
 //	packed, err := p.Pack(message)
 //	message, err = p.Unpack(packed)
-package packer
+package compressor
 
 import (
 	"fmt"
@@ -22,16 +22,16 @@
 // stores (1 MB). A spoilt message must not take a small host's memory.
 const maxUnpacked = 32 << 20
 
-// Packer packs and unpacks. The zero value is ready; it is safe for concurrent use, and
+// Compressor packs and unpacks. The zero value is ready; it is safe for concurrent use, and
 // keeps its memory for the next message.
-type Packer struct {
+type Compressor struct {
 	once    sync.Once
 	err     error
 	encoder *zstd.Encoder
 	decoder *zstd.Decoder
 }
 
-func (p *Packer) open() error {
+func (p *Compressor) open() error {
 	p.once.Do(func() {
 		p.encoder, p.err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
 		if p.err != nil {
@@ -45,17 +45,17 @@
 	return nil
 }
 
-// Pack returns a message in packed form.
-func (p *Packer) Pack(message []byte) ([]byte, error) {
+// Compress returns a message in packed form.
+func (p *Compressor) Compress(message []byte) ([]byte, error) {
 	if err := p.open(); err != nil {
 		return nil, err
 	}
 	return p.encoder.EncodeAll(message, nil), nil
 }
 
-// Unpack returns a packed message. It fails where the bytes are damaged, which a
+// Decompress returns a packed message. It fails where the bytes are damaged, which a
 // checksum shows, or the message is larger than a daemon takes.
-func (p *Packer) Unpack(packed []byte) ([]byte, error) {
+func (p *Compressor) Decompress(packed []byte) ([]byte, error) {
 	if err := p.open(); err != nil {
 		return nil, err
 	}
--- a/internal/core/packer/packer_test.go
+++ b/internal/core/compressor/compressor_test.go
@@ -1,4 +1,4 @@
-package packer
+package compressor
 
 import (
 	"bytes"
@@ -10,14 +10,14 @@
 )
 
 func TestMessagesComeBack(t *testing.T) {
-	var p Packer
+	var p Compressor
 	rapid.Check(t, func(t *rapid.T) {
 		message := rapid.SliceOf(rapid.Byte()).Draw(t, "message")
-		packed, err := p.Pack(message)
+		packed, err := p.Compress(message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := p.Unpack(packed)
+		back, err := p.Decompress(packed)
 		if err != nil || !bytes.Equal(back, message) {
 			t.Fatalf("%d bytes, back %d, error %v", len(message), len(back), err)
 		}
@@ -25,8 +25,8 @@
 }
 
 func TestDamagedMessagesAreRefused(t *testing.T) {
-	var p Packer
-	packed, err := p.Pack(configuration(100))
+	var p Compressor
+	packed, err := p.Compress(configuration(100))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,7 +35,7 @@
 		"changed": append(append([]byte{}, packed[:len(packed)-40]...), bytes.Repeat([]byte{7}, 40)...),
 		"text":    []byte("not packed at all"),
 	} {
-		if back, err := p.Unpack(spoilt); err == nil {
+		if back, err := p.Decompress(spoilt); err == nil {
 			t.Errorf("%s: taken for a message of %d bytes", name, len(back))
 		}
 	}
@@ -43,12 +43,12 @@
 
 // A few bytes may stand for a message that would fill a host's memory.
 func TestHugeMessagesAreRefused(t *testing.T) {
-	var p Packer
-	packed, err := p.Pack(make([]byte, maxUnpacked+1))
+	var p Compressor
+	packed, err := p.Compress(make([]byte, maxUnpacked+1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.Unpack(packed); err == nil {
+	if _, err := p.Decompress(packed); err == nil {
 		t.Errorf("%d bytes were unpacked to over %d", len(packed), maxUnpacked)
 	}
 }
@@ -67,12 +67,12 @@
 
 // BenchmarkPack packs a configuration of 4,250 routes.
 func BenchmarkPack(b *testing.B) {
-	var p Packer
+	var p Compressor
 	message := configuration(4250)
 	b.SetBytes(int64(len(message)))
 	b.ReportAllocs()
 	for b.Loop() {
-		packed, err := p.Pack(message)
+		packed, err := p.Compress(message)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/core/identifier/identifier.go
+++ b/internal/core/identifier/identifier.go
@@ -51,9 +51,9 @@
 // Incarnation tells successive lives of one host apart; it only ever rises.
 type Incarnation uint64
 
-// Born is when an endpoint started, in milliseconds from 1970 by its own clock. It tells
+// StartTime is when an endpoint started, in milliseconds from 1970 by its own clock. It tells
 // lives of one endpoint apart, not which is the newer.
-type Born int64
+type StartTime int64
 
 // Tokens counts model tokens.
 type Tokens int
--- a/internal/core/delayer/delayer.go
+++ b/internal/core/retryparser/retryparser.go
@@ -4,7 +4,7 @@
 // # Usage
 //
 //	if d := delayer.Decode(resp.StatusCode, resp.Header); d > 0 { leave it alone }
-package delayer
+package retryparser
 
 import (
 	"math"
@@ -14,25 +14,25 @@
 	"time"
 )
 
-// Longest bounds the time that a server may want nothing: a mistake in a header must not take
+// MaxDelay bounds the time that a server may want nothing: a mistake in a header must not take
 // it out of use for days.
-const Longest = time.Hour
+const MaxDelay = time.Hour
 
 const header = "Retry-After"
 
-// Decode reads seconds, fractions too, or a date, from an answer with status 429 or 503. It
+// Parse reads seconds, fractions too, or a date, from an answer with status 429 or 503. It
 // returns 0 where none is said, or what is said can't be read.
-func Decode(status int, h http.Header) time.Duration {
+func Parse(status int, h http.Header) time.Duration {
 	values := h.Values(header)
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests || len(values) != 1 {
 		return 0
 	}
 	if at, err := http.ParseTime(values[0]); err == nil {
-		return min(max(time.Until(at), 0), Longest)
+		return min(max(time.Until(at), 0), MaxDelay)
 	}
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(values[0]), 64)
 	if err != nil || !(seconds > 0 && seconds <= math.MaxFloat64) {
 		return 0
 	}
-	return time.Duration(min(seconds, Longest.Seconds()) * float64(time.Second))
+	return time.Duration(min(seconds, MaxDelay.Seconds()) * float64(time.Second))
 }
--- a/internal/core/delayer/delayer_test.go
+++ b/internal/core/retryparser/retryparser_test.go
@@ -1,4 +1,4 @@
-package delayer
+package retryparser
 
 import (
 	"net/http"
@@ -16,7 +16,7 @@
 		{http.StatusServiceUnavailable, []string{"3"}, 3 * time.Second},
 		{http.StatusServiceUnavailable, []string{" 0.25"}, 250 * time.Millisecond},
 		{http.StatusTooManyRequests, []string{"1"}, time.Second},
-		{http.StatusServiceUnavailable, []string{"1e9"}, Longest},
+		{http.StatusServiceUnavailable, []string{"1e9"}, MaxDelay},
 		{http.StatusServiceUnavailable, []string{"Inf"}, 0},
 		{http.StatusServiceUnavailable, []string{"Wed, 21 Oct 2015 07:28:00 GMT"}, 0},
 		{http.StatusServiceUnavailable, []string{"0"}, 0},
@@ -28,12 +28,12 @@
 		{http.StatusOK, []string{"3"}, 0},
 		{http.StatusInternalServerError, []string{"3"}, 0},
 	} {
-		if got := Decode(c.status, http.Header{header: c.values}); got != c.want {
+		if got := Parse(c.status, http.Header{header: c.values}); got != c.want {
 			t.Errorf("%d %q: %v, want %v", c.status, c.values, got, c.want)
 		}
 	}
 	at := time.Now().Add(time.Minute).UTC().Format(http.TimeFormat)
-	got := Decode(http.StatusServiceUnavailable, http.Header{header: {at}})
+	got := Parse(http.StatusServiceUnavailable, http.Header{header: {at}})
 	if got <= 50*time.Second || got > time.Minute {
 		t.Errorf("a date in a minute: %v", got)
 	}
--- a/internal/core/watchdog/watchdog.go
+++ b/internal/core/watchdog/watchdog.go
@@ -25,14 +25,14 @@
 	"time"
 )
 
-// ErrSilent means that nothing came for too long.
-var ErrSilent = errors.New("nothing received for too long")
+// ErrIdleTimeout means that nothing came for too long.
+var ErrIdleTimeout = errors.New("nothing received for too long")
 
 // Config says how calls are made.
 type Config struct {
 	Transport http.RoundTripper
-	// Silence is the longest time until an answer begins, and between its bytes.
-	Silence time.Duration
+	// IdleTimeout is the longest time until an answer begins, and between its bytes.
+	IdleTimeout time.Duration
 }
 
 // Watchdog makes calls. It is safe for concurrent use.
@@ -48,7 +48,7 @@
 // closed.
 func (w *Watchdog) DoAfter(r *http.Request, wait time.Duration) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(r.Context())
-	timer := time.AfterFunc(wait+w.c.Silence, func() { cancel(ErrSilent) })
+	timer := time.AfterFunc(wait+w.c.IdleTimeout, func() { cancel(ErrIdleTimeout) })
 	resp, err := w.c.Transport.RoundTrip(r.WithContext(ctx))
 	if err != nil {
 		timer.Stop()
@@ -56,15 +56,15 @@
 		cancel(nil)
 		return nil, err
 	}
-	timer.Reset(w.c.Silence)
-	resp.Body = &body{ReadCloser: resp.Body, ctx: ctx, cancel: cancel, timer: timer, silence: w.c.Silence}
+	timer.Reset(w.c.IdleTimeout)
+	resp.Body = &body{ReadCloser: resp.Body, ctx: ctx, cancel: cancel, timer: timer, silence: w.c.IdleTimeout}
 	return resp, nil
 }
 
 // silent names silence as the cause of an error, where it was.
 func silent(ctx context.Context, err error) error {
-	if errors.Is(context.Cause(ctx), ErrSilent) {
-		return fmt.Errorf("%w: %w", ErrSilent, err)
+	if errors.Is(context.Cause(ctx), ErrIdleTimeout) {
+		return fmt.Errorf("%w: %w", ErrIdleTimeout, err)
 	}
 	return err
 }
--- a/internal/core/watchdog/watchdog_test.go
+++ b/internal/core/watchdog/watchdog_test.go
@@ -65,14 +65,14 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := New(Config{Transport: c.t, Silence: time.Second})
+				w := New(Config{Transport: c.t, IdleTimeout: time.Second})
 				r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://a/", nil)
 				if err != nil {
 					t.Fatal(err)
 				}
 				began := time.Now()
 				text, err := read(w, r, c.wait)
-				if errors.Is(err, ErrSilent) != c.silent || !c.silent && (err != nil || text != strings.Repeat("x", c.t.bytes)) {
+				if errors.Is(err, ErrIdleTimeout) != c.silent || !c.silent && (err != nil || text != strings.Repeat("x", c.t.bytes)) {
 					t.Errorf("%q, error %v, silent expected: %v", text, err, c.silent)
 				}
 				if took := time.Since(began); c.silent && took > c.wait+c.t.pause+2*time.Second {
@@ -102,8 +102,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, err = read(New(Config{Transport: transport{first: time.Hour}, Silence: time.Second}), r, 0)
-		if errors.Is(err, ErrSilent) || !errors.Is(err, context.DeadlineExceeded) {
+		_, err = read(New(Config{Transport: transport{first: time.Hour}, IdleTimeout: time.Second}), r, 0)
+		if errors.Is(err, ErrIdleTimeout) || !errors.Is(err, context.DeadlineExceeded) {
 			t.Errorf("error %v, the caller's deadline is expected", err)
 		}
 	})
--- a/internal/engine/caller/caller.go
+++ b/internal/engine/caller/caller.go
@@ -42,7 +42,7 @@
 	"sync/atomic"
 	"time"
 
-	"brasschute/internal/core/delayer"
+	"brasschute/internal/core/retryparser"
 	"brasschute/internal/engine/frame"
 	"brasschute/internal/engine/order"
 	"brasschute/internal/engine/prefix"
@@ -157,7 +157,7 @@
 		return nil, fmt.Errorf("endpoint: %w", err)
 	}
 	a.state.Store(int32(Answered))
-	a.rest.Store(int64(delayer.Decode(resp.StatusCode, resp.Header)))
+	a.rest.Store(int64(retryparser.Parse(resp.StatusCode, resp.Header)))
 	return resp, nil
 }
 
--- a/internal/fleet/trail/trail.go
+++ b/internal/fleet/auditor/auditor.go
@@ -11,7 +11,7 @@
 //	t := trail.New(trail.Config{Store: c, Zone: zone})
 //	err := t.Add(ctx, trail.Entry{...})
 //	entries, err := t.Read(ctx)
-package trail
+package auditor
 
 import (
 	"context"
--- a/internal/fleet/orderer/orderer.go
+++ b/internal/fleet/autoscaler/autoscaler.go
@@ -26,7 +26,7 @@
 //
 //	o := orderer.New(orderer.Config{...})
 //	o.Step(ctx, fencing, services) // once a second while the duty is held
-package orderer
+package autoscaler
 
 import (
 	"context"
@@ -94,10 +94,10 @@
 
 // Config names the orderer's collaborators.
 type Config struct {
-	Order  func(ctx context.Context, fencing uint64, s identifier.Service, z identifier.AvailabilityZone, class document.Class, wanted int) error
+	SetDesired  func(ctx context.Context, fencing uint64, s identifier.Service, z identifier.AvailabilityZone, class document.Class, wanted int) error
 	Logger *log.Logger
-	// Fresh: the whole fleet starts for the first time, and has no load yet.
-	Fresh bool
+	// FirstStart: the whole fleet starts for the first time, and has no load yet.
+	FirstStart bool
 }
 
 // Service is one that can be scaled, as it is now.
@@ -153,8 +153,8 @@
 	return max(t.ordered, t.listed)
 }
 
-// Orderer gives orders. It is for one goroutine.
-type Orderer struct {
+// Autoscaler gives orders. It is for one goroutine.
+type Autoscaler struct {
 	c       Config
 	started time.Time
 	fencing uint64
@@ -187,15 +187,15 @@
 func (n *need) bound() float64 { return max(mostGrowth*n.engines, 1) }
 
 // New returns an orderer that has ordered nothing.
-func New(c Config) *Orderer {
-	return &Orderer{
+func New(c Config) *Autoscaler {
+	return &Autoscaler{
 		c: c, started: time.Now(), states: make(map[key]*state), needs: make(map[identifier.Service]*need),
 		found: make(map[identifier.Service]int), peaks: make(map[identifier.Service]*need), asked: make(map[identifier.Service]time.Time),
 	}
 }
 
 // Step gives the orders that are needed now.
-func (o *Orderer) Step(ctx context.Context, fencing uint64, services []Service) {
+func (o *Autoscaler) Step(ctx context.Context, fencing uint64, services []Service) {
 	if fencing != o.fencing {
 		o.fencing = fencing
 		o.states = make(map[key]*state)
@@ -206,7 +206,7 @@
 	}
 }
 
-func (o *Orderer) service(ctx context.Context, s *Service) {
+func (o *Autoscaler) service(ctx context.Context, s *Service) {
 	now := time.Now()
 	if o.fresh(now, listTime) {
 		return
@@ -231,15 +231,15 @@
 }
 
 // size decides by what is listed and ordered now.
-func (o *Orderer) size(s *Service, need float64, now time.Time) []sizer.Wanted {
-	in := &sizer.Input{Scale: s.Scale, Need: need, Zones: slices.Clone(s.Zones)}
+func (o *Autoscaler) size(s *Service, need float64, now time.Time) []sizer.Wanted {
+	in := &sizer.Input{Scale: s.Scale, Required: need, Zones: slices.Clone(s.Zones)}
 	if o.fresh(now, firstTime) {
 		in.Spare = firstSpare * float64(o.found[s.Service])
 	}
 	for i := range in.Zones {
 		z := &in.Zones[i]
 		t := o.state(s, z.Zone, document.ClassReclaimable)
-		z.Dry, z.Coming = t.isDry(now), t.coming(s.Scale.BootTime, now)
+		z.ReclaimableUnavailable, z.ReclaimableWithPending = t.isDry(now), t.coming(s.Scale.BootTime, now)
 		z.OnDemand = o.state(s, z.Zone, document.ClassOnDemand).coming(s.Scale.BootTime, now)
 	}
 	return sizer.Size(in)
@@ -247,9 +247,9 @@
 
 // need is how many endpoints a service needs, now or of late, without the spare ones
 // for a zone's loss.
-func (o *Orderer) need(s *Service, now time.Time) float64 {
+func (o *Autoscaler) need(s *Service, now time.Time) float64 {
 	p := poolOf(s)
-	asked := min(s.Capacity.Need(s.Demand), o.most(s.Service, p.whole(), now))
+	asked := min(s.Capacity.EndpointsFor(s.Demand), o.most(s.Service, p.whole(), now))
 	if o.fresh(now, firstTime) {
 		o.found[s.Service] = max(o.found[s.Service], p.onDemand)
 		return max(asked, float64(o.found[s.Service]))
@@ -294,7 +294,7 @@
 }
 
 // most is the most endpoints that may be wanted now, where so many serve or served.
-func (o *Orderer) most(s identifier.Service, serving float64, now time.Time) float64 {
+func (o *Autoscaler) most(s identifier.Service, serving float64, now time.Time) float64 {
 	p := o.peaks[s]
 	if p == nil || serving >= p.engines || now.Sub(p.peak) > lately {
 		p = &need{engines: serving, peak: now}
@@ -305,7 +305,7 @@
 
 // firstLoad tells whether a service's first requests are still so few seconds ago
 // that its load is not known. Before them, what a new fleet found is cut to size.
-func (o *Orderer) firstLoad(s *Service, now time.Time) bool {
+func (o *Autoscaler) firstLoad(s *Service, now time.Time) bool {
 	at, ok := o.asked[s.Service]
 	if !ok && s.Demand != (demandmeter.Demand{}) {
 		at, ok = now, true
@@ -315,16 +315,16 @@
 }
 
 // unloaded tells whether a new fleet has not yet seen a request for a service.
-func (o *Orderer) unloaded(s *Service) bool {
-	return o.c.Fresh && o.asked[s.Service].IsZero()
+func (o *Autoscaler) unloaded(s *Service) bool {
+	return o.c.FirstStart && o.asked[s.Service].IsZero()
 }
 
 // fresh tells whether the whole fleet has started less than a time ago.
-func (o *Orderer) fresh(now time.Time, than time.Duration) bool {
-	return o.c.Fresh && now.Sub(o.started) < than
+func (o *Autoscaler) fresh(now time.Time, than time.Duration) bool {
+	return o.c.FirstStart && now.Sub(o.started) < than
 }
 
-func (o *Orderer) state(s *Service, z identifier.AvailabilityZone, class document.Class) *state {
+func (o *Autoscaler) state(s *Service, z identifier.AvailabilityZone, class document.Class) *state {
 	k := key{s.Service, z, class}
 	t := o.states[k]
 	if t == nil {
@@ -335,7 +335,7 @@
 }
 
 // order gives one order if it is due; keep: nothing is given back now.
-func (o *Orderer) order(ctx context.Context, s *Service, z identifier.AvailabilityZone, class document.Class, wanted int, keep bool) {
+func (o *Autoscaler) order(ctx context.Context, s *Service, z identifier.AvailabilityZone, class document.Class, wanted int, keep bool) {
 	t := o.state(s, z, class)
 	now := time.Now()
 	if !t.known {
@@ -361,10 +361,10 @@
 	default:
 		return
 	}
-	err := o.c.Order(ctx, o.fencing, s.Service, z, class, wanted)
+	err := o.c.SetDesired(ctx, o.fencing, s.Service, z, class, wanted)
 	o.c.Logger.Info("endpoints ordered", "service", s.Service, "zone", z, "class", class, "wanted", wanted, "before", t.ordered,
 		"listed", t.listed, "fencing", o.fencing, "tokens_per_second", int(s.Demand.Tokens), "running", s.Demand.Running,
-		"engine_tokens_per_second", int(s.Capacity.Tokens), "needed", s.Capacity.Need(s.Demand),
+		"engine_tokens_per_second", int(s.Capacity.Tokens), "needed", s.Capacity.EndpointsFor(s.Demand),
 		"at_most", o.peaks[s.Service].bound(), "error", err)
 	t.at = now
 	switch {
--- a/internal/fleet/orderer/orderer_test.go
+++ b/internal/fleet/autoscaler/autoscaler_test.go
@@ -1,4 +1,4 @@
-package orderer
+package autoscaler
 
 import (
 	"context"
@@ -101,12 +101,12 @@
 	return n
 }
 
-func newOrderer(c *cloud, fresh bool) *Orderer {
-	return New(Config{Order: c.order, Logger: log.New(io.Discard), Fresh: fresh})
+func newOrderer(c *cloud, fresh bool) *Autoscaler {
+	return New(Config{SetDesired: c.order, Logger: log.New(io.Discard), FirstStart: fresh})
 }
 
 // run steps for a time, twice a second.
-func run(o *Orderer, c *cloud, fencing uint64, tokens float64, d time.Duration) {
+func run(o *Autoscaler, c *cloud, fencing uint64, tokens float64, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(500 * time.Millisecond) {
 		o.Step(context.Background(), fencing, c.service(tokens))
 	}
--- a/internal/fleet/leaser/hosted_test.go
+++ b/internal/fleet/leaser/hosted_test.go
@@ -35,7 +35,7 @@
 		if _, may := next.HeldFor(); may {
 			t.Error("it acts while orders of the killed process may be on their way")
 		}
-		time.Sleep(OrderTime + time.Millisecond)
+		time.Sleep(MaxOrderDelay + time.Millisecond)
 		if _, may := next.HeldFor(); !may {
 			t.Error("it never acts")
 		}
@@ -66,7 +66,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &counting{store: new(store)}
 		a := New(Config{Store: s, Zone: "z", Host: "a", Duration: duration})
-		b := New(Config{Store: s, Zone: "z", Host: identifier.Host("b"), Duration: duration, Led: func() bool { return true }})
+		b := New(Config{Store: s, Zone: "z", Host: identifier.Host("b"), Duration: duration, HeldByOther: func() bool { return true }})
 		a.step(context.Background())
 		s.calls = 0
 		for range 10 {
--- a/internal/fleet/leaser/leaser.go
+++ b/internal/fleet/leaser/leaser.go
@@ -15,7 +15,7 @@
 // and ends a margin early; [Leaser.Held] is asked right before each order. An
 // order may still be on its way when the lease lapses: engines that honour
 // fencing refuse it once the successor has given one, and for those that do
-// not the successor waits out [OrderTime] before its first order.
+// not the successor waits out [MaxOrderDelay] before its first order.
 //
 // # A lost answer
 //
@@ -45,9 +45,9 @@
 )
 
 const (
-	// OrderTime is the longest that an order is on its way, unless the
+	// MaxOrderDelay is the longest that an order is on its way, unless the
 	// configuration says otherwise.
-	OrderTime = 2 * time.Second
+	MaxOrderDelay = 2 * time.Second
 	// A lease is renewed every renewals-th of its duration, and its holder
 	// stops believing in it one marginPart-th early.
 	renewals   = 3
@@ -71,16 +71,16 @@
 	// Now is a clock that does not stand still while the host is suspended, as
 	// uptimer.Now; time.Now if nil.
 	Now func() time.Time
-	// OrderTime is how long a new holder waits for its predecessor's orders;
+	// MaxOrderDelay is how long a new holder waits for its predecessor's orders;
 	// the constant of that name if zero.
-	OrderTime time.Duration
-	// Led tells that another candidate is known to hold the lease now: then
+	MaxOrderDelay time.Duration
+	// HeldByOther tells that another candidate is known to hold the lease now: then
 	// the store need not be asked. Nil if that is never known.
-	Led func() bool
-	// Changed is told when leadership is won or lost; may be nil.
-	Changed func(fencing uint64, held bool)
-	// Unreadable is told of a lease that no candidate has written; may be nil.
-	Unreadable func(error)
+	HeldByOther func() bool
+	// OnChange is told when leadership is won or lost; may be nil.
+	OnChange func(fencing uint64, held bool)
+	// OnUnreadable is told of a lease that no candidate has written; may be nil.
+	OnUnreadable func(error)
 }
 
 // record is the lease as the platform holds it.
@@ -112,17 +112,17 @@
 
 // New returns a candidate that does not lead.
 func New(c Config) *Leaser {
-	if c.Unreadable == nil {
-		c.Unreadable = func(error) {}
+	if c.OnUnreadable == nil {
+		c.OnUnreadable = func(error) {}
 	}
-	if c.Changed == nil {
-		c.Changed = func(uint64, bool) {}
+	if c.OnChange == nil {
+		c.OnChange = func(uint64, bool) {}
 	}
-	if c.OrderTime == 0 {
-		c.OrderTime = OrderTime
+	if c.MaxOrderDelay == 0 {
+		c.MaxOrderDelay = MaxOrderDelay
 	}
-	if c.Led == nil {
-		c.Led = func() bool { return false }
+	if c.HeldByOther == nil {
+		c.HeldByOther = func() bool { return false }
 	}
 	if c.Now == nil {
 		c.Now = time.Now
@@ -150,10 +150,10 @@
 	return l.held.FencingNumber, now.Before(l.until) && now.After(l.ready)
 }
 
-// Sure tells whether the lease is held and its last renewal was acknowledged. A
+// Confirmed tells whether the lease is held and its last renewal was acknowledged. A
 // holder that can't renew any more should let the others prepare, who must see
 // the lease unchanged for its whole duration.
-func (l *Leaser) Sure() bool {
+func (l *Leaser) Confirmed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.sure && l.c.Now().Before(l.until)
@@ -192,7 +192,7 @@
 	l.try(ctx)
 	fencing, is := l.Held()
 	if was != is {
-		l.c.Changed(fencing, is)
+		l.c.OnChange(fencing, is)
 	}
 }
 
@@ -200,11 +200,11 @@
 // renewal was acknowledged knows the version, and renews without reading.
 func (l *Leaser) try(ctx context.Context) {
 	begun := l.c.Now()
-	if l.Sure() {
+	if l.Confirmed() {
 		l.write(ctx, l.held, l.seen, begun, false)
 		return
 	}
-	if l.c.Led() {
+	if l.c.HeldByOther() {
 		return
 	}
 	r, version, err := l.read(ctx)
@@ -240,7 +240,7 @@
 		// lease again. Nobody knows who holds it now, so it is left alone for its
 		// duration; the revision is above every number given so far, as each took one.
 		r = record{FencingNumber: o.Version}
-		l.c.Unreadable(fmt.Errorf("lease, revision %d: %w", o.Version, err))
+		l.c.OnUnreadable(fmt.Errorf("lease, revision %d: %w", o.Version, err))
 	}
 	return r, o.Version, nil
 }
@@ -285,6 +285,6 @@
 	l.until = begun.Add(l.c.Duration - l.c.Duration/marginPart)
 	l.held = r
 	if taken {
-		l.ready = begun.Add(l.c.OrderTime)
+		l.ready = begun.Add(l.c.MaxOrderDelay)
 	}
 }
--- a/internal/fleet/leaser/leaser_test.go
+++ b/internal/fleet/leaser/leaser_test.go
@@ -162,7 +162,7 @@
 		if _, held := l.HeldFor(); held {
 			t.Fatal("orders at once")
 		}
-		time.Sleep(OrderTime + time.Millisecond)
+		time.Sleep(MaxOrderDelay + time.Millisecond)
 		if _, held := l.HeldFor(); !held {
 			t.Fatal("never orders")
 		}
@@ -234,7 +234,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s, told := &store{}, 0
 				a, b := candidateOf(s, "a"), candidateOf(s, "b")
-				b.c.Unreadable = func(error) { told++ }
+				b.c.OnUnreadable = func(error) { told++ }
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				go func() { _ = a.Serve(ctx) }()
--- a/internal/fleet/planner/planner.go
+++ b/internal/fleet/planner/planner.go
@@ -47,8 +47,8 @@
 	Place Place
 }
 
-// View is what a plan is made from.
-type View struct {
+// Input is what a plan is made from.
+type Input struct {
 	Zone   identifier.AvailabilityZone
 	Pool   identifier.Pool
 	Wanted int
@@ -71,14 +71,14 @@
 	Stop  []identifier.Host
 	// Live, Leaving and Pending count the pool's hosts of the zone.
 	Live, Leaving, Pending int
-	// Missing counts hosts that no place would give now.
-	Missing int
-	// Why says what stands in the way of the missing ones.
-	Why string
+	// Shortfall counts hosts that no place would give now.
+	Shortfall int
+	// ShortfallReason says what stands in the way of the missing ones.
+	ShortfallReason string
 }
 
 // Plan decides for one pool and zone.
-func Plan(v *View) Decision {
+func Plan(v *Input) Decision {
 	var d Decision
 	var own []*inventory.Host
 	for i := range v.Hosts {
@@ -107,7 +107,7 @@
 }
 
 // belongs tells whether a host is one of the pool's on behalf of the zone.
-func belongs(v *View, h *inventory.Host) bool {
+func belongs(v *Input, h *inventory.Host) bool {
 	owner := h.Owner
 	if owner == "" {
 		owner = h.AvailabilityZone
@@ -118,7 +118,7 @@
 	return slices.ContainsFunc(h.Endpoints, func(e inventory.Endpoint) bool { return e.Pool == v.Pool })
 }
 
-func start(v *View, d *Decision, missing int) {
+func start(v *Input, d *Decision, missing int) {
 	places := order(v)
 	left := v.SpendingPerHour - spending(v)
 	for range missing {
@@ -126,10 +126,10 @@
 			return v.SpendingPerHour == 0 || p.PerHour <= left
 		})
 		if i < 0 {
-			d.Missing++
-			d.Why = "every place has refused and rests"
+			d.Shortfall++
+			d.ShortfallReason = "every place has refused and rests"
 			if len(places) > 0 {
-				d.Why = "the spending limit is reached"
+				d.ShortfallReason = "the spending limit is reached"
 			}
 			continue
 		}
@@ -139,7 +139,7 @@
 }
 
 // order lists the places that may be asked now, best first.
-func order(v *View) []document.Price {
+func order(v *Input) []document.Price {
 	var out []document.Price
 	for _, p := range v.Prices {
 		if !v.Now.Before(v.Refused[Place{p.AvailabilityZone, p.Class}]) {
@@ -164,7 +164,7 @@
 }
 
 // spending adds up the prices of all hosts that are there or asked for.
-func spending(v *View) float64 {
+func spending(v *Input) float64 {
 	sum := 0.0
 	for i := range v.Hosts {
 		sum += price(v, Place{v.Hosts[i].AvailabilityZone, v.Hosts[i].Class})
@@ -175,7 +175,7 @@
 	return sum
 }
 
-func price(v *View, p Place) float64 {
+func price(v *Input, p Place) float64 {
 	for _, known := range v.Prices {
 		if known.AvailabilityZone == p.AvailabilityZone && known.Class == p.Class {
 			return known.PerHour
@@ -185,7 +185,7 @@
 }
 
 // stop gives the dearest back, of equal price those of other zones first.
-func stop(v *View, d *Decision, own []*inventory.Host, surplus int) {
+func stop(v *Input, d *Decision, own []*inventory.Host, surplus int) {
 	slices.SortStableFunc(own, func(a, b *inventory.Host) int {
 		return cmp.Or(
 			cmp.Compare(price(v, Place{b.AvailabilityZone, b.Class}), price(v, Place{a.AvailabilityZone, a.Class})),
--- a/internal/fleet/planner/planner_test.go
+++ b/internal/fleet/planner/planner_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-func view(wanted int, hosts ...inventory.Host) *View {
-	return &View{
+func view(wanted int, hosts ...inventory.Host) *Input {
+	return &Input{
 		Zone: "z1", Pool: "p", Wanted: wanted, Hosts: hosts, Now: time.Unix(1000, 0), Prices: every,
 		Leaving: func(*inventory.Host) bool { return false },
 	}
@@ -47,8 +47,8 @@
 	rests := map[Place]time.Time{near: time.Unix(2000, 0)}
 	cases := []struct {
 		name   string
-		view   *View
-		change func(*View)
+		view   *Input
+		change func(*Input)
 		start  []Place
 		stop   []identifier.Host
 		why    string
@@ -56,17 +56,17 @@
 		{"enough", view(2, a, b), nil, nil, nil, ""},
 		{"one short", view(2, a), nil, []Place{near}, nil, ""},
 		{"leaving does not count", view(1, leaving), nil, []Place{near}, nil, ""},
-		{"notice not listed yet", view(1, a), func(v *View) { v.Leaving = func(*inventory.Host) bool { return true } }, []Place{near}, nil, ""},
-		{"asked for already", view(2, a), func(v *View) { v.Pending = []Pending{{"p", near}} }, nil, nil, ""},
-		{"asked for by another pool", view(2, a), func(v *View) { v.Pending = []Pending{{"q", near}} }, []Place{near}, nil, ""},
+		{"notice not listed yet", view(1, a), func(v *Input) { v.Leaving = func(*inventory.Host) bool { return true } }, []Place{near}, nil, ""},
+		{"asked for already", view(2, a), func(v *Input) { v.Pending = []Pending{{"p", near}} }, nil, nil, ""},
+		{"asked for by another pool", view(2, a), func(v *Input) { v.Pending = []Pending{{"q", near}} }, []Place{near}, nil, ""},
 		{"abroad counts for its owner", view(2, a, abroad), nil, nil, nil, ""},
 		{"another zone's host here does not", view(2, a, foreign), nil, []Place{near}, nil, ""},
-		{"refused here, elsewhere by price", view(1), func(v *View) { v.Refused = rests }, []Place{far}, nil, ""},
-		{"pause is over", view(1), func(v *View) { v.Refused = map[Place]time.Time{near: time.Unix(900, 0)} }, []Place{near}, nil, ""},
-		{"reclaimable refused, on-demand", view(1), func(v *View) {
+		{"refused here, elsewhere by price", view(1), func(v *Input) { v.Refused = rests }, []Place{far}, nil, ""},
+		{"pause is over", view(1), func(v *Input) { v.Refused = map[Place]time.Time{near: time.Unix(900, 0)} }, []Place{near}, nil, ""},
+		{"reclaimable refused, on-demand", view(1), func(v *Input) {
 			v.Refused = map[Place]time.Time{near: time.Unix(2000, 0), far: time.Unix(2000, 0)}
 		}, []Place{dear}, nil, ""},
-		{"spending limit", view(3, a), func(v *View) { v.SpendingPerHour = 4 }, []Place{near}, nil, "the spending limit is reached"},
+		{"spending limit", view(3, a), func(v *Input) { v.SpendingPerHour = 4 }, []Place{near}, nil, "the spending limit is reached"},
 		{"a wave at once", view(4), nil, []Place{near, near, near, near}, nil, ""},
 		{"too many: dearest first", view(1, a, b), nil, nil, []identifier.Host{"b"}, ""},
 		{"too many, but one leaves anyway", view(1, a, b, leaving), nil, nil, nil, ""},
@@ -78,7 +78,7 @@
 				c.change(c.view)
 			}
 			d := Plan(c.view)
-			if !slices.Equal(d.Start, c.start) || !slices.Equal(d.Stop, c.stop) || d.Why != c.why {
+			if !slices.Equal(d.Start, c.start) || !slices.Equal(d.Stop, c.stop) || d.ShortfallReason != c.why {
 				t.Errorf("%+v", d)
 			}
 		})
--- a/internal/fleet/promoter/evidence.go
+++ b/internal/fleet/promoter/evidence.go
@@ -32,39 +32,39 @@
 	manyBad       = 20
 )
 
-// Sum adds up answers.
-type Sum struct {
+// Counts adds up answers.
+type Counts struct {
 	Sent, Answers, Failed, Slow int
 }
 
-func (s *Sum) add(t *splitter.Tally) {
+func (s *Counts) add(t *splitter.Tally) {
 	s.Sent += t.Sent
 	s.Answers += t.Answers
 	s.Failed += t.Failed
 	s.Slow += t.Slow
 }
 
-func (s Sum) minus(o Sum) Sum {
-	return Sum{s.Sent - o.Sent, s.Answers - o.Answers, s.Failed - o.Failed, s.Slow - o.Slow}
+func (s Counts) minus(o Counts) Counts {
+	return Counts{s.Sent - o.Sent, s.Answers - o.Answers, s.Failed - o.Failed, s.Slow - o.Slow}
 }
 
 // String is for logs.
-func (s Sum) String() string {
+func (s Counts) String() string {
 	return fmt.Sprintf("%d sent, %d answers, %d failed, %d slow", s.Sent, s.Answers, s.Failed, s.Slow)
 }
 
 // Evidence is what the answers say.
 type Evidence struct {
-	New, Old Sum
-	// Bad says why the version is bad, empty if it is not; Doubt why that is not known yet.
-	Bad, Doubt string
+	New, Old Counts
+	// RevertReason says why the version is bad, empty if it is not; HoldReason why that is not known yet.
+	RevertReason, HoldReason string
 }
 
 // route is one route's answers.
 type route struct {
-	new, old Sum
+	new, old Counts
 	// each are the new ones by endpoint.
-	each map[identifier.Endpoint]Sum
+	each map[identifier.Endpoint]Counts
 }
 
 // snapshot is what had been counted at a time, by route; the empty one stands for all.
@@ -96,7 +96,7 @@
 		for _, name := range []string{"", n.Route} {
 			r := s.routes[name]
 			if r == nil {
-				r = &route{each: make(map[identifier.Endpoint]Sum)}
+				r = &route{each: make(map[identifier.Endpoint]Counts)}
 				s.routes[name] = r
 			}
 			if n.Endpoint == "" {
@@ -120,7 +120,7 @@
 		if b == nil {
 			b = &route{}
 		}
-		d := &route{new: r.new.minus(b.new), old: r.old.minus(b.old), each: make(map[identifier.Endpoint]Sum, len(r.each))}
+		d := &route{new: r.new.minus(b.new), old: r.old.minus(b.old), each: make(map[identifier.Endpoint]Counts, len(r.each))}
 		for e, n := range r.each {
 			d.each[e] = n.minus(b.each[e])
 		}
@@ -152,13 +152,13 @@
 			}
 			text := fmt.Sprintf("%s %s, route %q: %s of the new version, %s of the old", worst.what, s.when, name, r.new, r.old)
 			if worst.weight >= surprise && r.widespread(worst.bad) {
-				out.Bad = text
+				out.RevertReason = text
 			}
-			out.Doubt = text
+			out.HoldReason = text
 		}
 	}
-	if out.Doubt == "" {
-		out.Doubt = all.few()
+	if out.HoldReason == "" {
+		out.HoldReason = all.few()
 	}
 	return out
 }
@@ -184,7 +184,7 @@
 // finding is in what the new version differs most.
 type finding struct {
 	what   string
-	bad    func(Sum) int
+	bad    func(Counts) int
 	weight float64
 }
 
@@ -192,9 +192,9 @@
 func (r *route) worst() finding {
 	out := finding{}
 	for _, f := range []finding{
-		{what: "failures", bad: func(s Sum) int { return s.Failed }},
-		{what: "slow answers", bad: func(s Sum) int { return s.Slow }},
-		{what: "failures and slow answers", bad: func(s Sum) int { return s.Failed + s.Slow }},
+		{what: "failures", bad: func(s Counts) int { return s.Failed }},
+		{what: "slow answers", bad: func(s Counts) int { return s.Slow }},
+		{what: "failures and slow answers", bad: func(s Counts) int { return s.Failed + s.Slow }},
 	} {
 		if f.weight = weight(f.bad(r.new), r.new.Answers, f.bad(r.old), r.old.Answers); f.weight > out.weight {
 			out = f
@@ -227,11 +227,11 @@
 }
 
 // widespread tells whether it is the version, and not one of its endpoints alone.
-func (r *route) widespread(bad func(Sum) int) bool {
+func (r *route) widespread(bad func(Counts) int) bool {
 	if len(r.each) < 2 {
 		return true
 	}
-	worst := slices.MaxFunc(sums(r.each), func(a, b Sum) int { return bad(a) - bad(b) })
+	worst := slices.MaxFunc(sums(r.each), func(a, b Counts) int { return bad(a) - bad(b) })
 	rest := r.new.minus(worst)
 	if rest.Answers < othersAnswers {
 		return bad(r.new) >= manyBad
@@ -240,8 +240,8 @@
 	return bad(rest) > 0 && float64(bad(rest)) >= expected*float64(rest.Answers)+elsewhere*math.Sqrt(expected*float64(rest.Answers))
 }
 
-func sums(each map[identifier.Endpoint]Sum) []Sum {
-	out := make([]Sum, 0, len(each))
+func sums(each map[identifier.Endpoint]Counts) []Counts {
+	out := make([]Counts, 0, len(each))
 	for _, s := range each {
 		out = append(out, s)
 	}
--- a/internal/fleet/promoter/promoter.go
+++ b/internal/fleet/promoter/promoter.go
@@ -90,16 +90,16 @@
 	Ends  time.Time
 	// Store: the phase is to be stored, and counts once it is.
 	Store bool
-	// News: the phase has changed, for Reason, by Evidence.
-	News     bool
+	// Changed: the phase has changed, for Reason, by Evidence.
+	Changed     bool
 	Reason   string
 	Evidence Evidence
 }
 
 // Config says what a bad version may get.
 type Config struct {
-	// Share of all requests for a service, until an order's deadline.
-	Share float64
+	// MaxShare of all requests for a service, until an order's deadline.
+	MaxShare float64
 }
 
 // Promoter holds what is known of the orders under way. It is not safe for concurrent use.
@@ -142,7 +142,7 @@
 		if t == nil {
 			t = &trial{counts: make(map[countKey]splitter.Tally), ends: o.OldEndAt}
 			if t.ends.IsZero() {
-				t.ends = o.LearnedAt.Add(o.Duration - o.CutoverLead(p.c.Share))
+				t.ends = o.LearnedAt.Add(o.Duration - o.CutoverLead(p.c.MaxShare))
 			}
 			p.trials[id] = t
 		}
@@ -168,7 +168,7 @@
 	before := t.phase
 	reason := t.advance(o, in)
 	return Step{
-		Order: o.Rollout, Phase: t.phase, Ends: t.ends, News: t.phase != before, Reason: reason, Evidence: t.evidence,
+		Order: o.Rollout, Phase: t.phase, Ends: t.ends, Changed: t.phase != before, Reason: reason, Evidence: t.evidence,
 		Store: t.phase == rollout.Ordered || t.phase.IsFinal(),
 	}, true
 }
@@ -182,9 +182,9 @@
 		t.looked = in.Now
 		t.evidence = t.compare(in.Now)
 	}
-	if t.evidence.Bad != "" {
+	if t.evidence.RevertReason != "" {
 		t.phase = rollout.Reverted
-		return t.evidence.Bad
+		return t.evidence.RevertReason
 	}
 	switch t.phase {
 	case rollout.Trying:
@@ -223,14 +223,14 @@
 	switch n := endpoints[o.Target]; {
 	case float64(n) < leastPart*float64(old) || n == 0:
 		return fmt.Sprintf("%d endpoints of the new version, %d of the old", n, old)
-	case t.evidence.Doubt != "":
-		return t.evidence.Doubt
+	case t.evidence.HoldReason != "":
+		return t.evidence.HoldReason
 	}
 	return ""
 }
 
-// Lacks says what keeps an order from moving on, for whoever looks at it.
-func (p *Promoter) Lacks(o *splitter.Order, in *Input) string {
+// HoldReason says what keeps an order from moving on, for whoever looks at it.
+func (p *Promoter) HoldReason(o *splitter.Order, in *Input) string {
 	if t := p.trials[o.OrderID()]; t != nil && t.phase == rollout.Trying {
 		return t.lacks(o, in)
 	}
--- a/internal/fleet/promoter/world_test.go
+++ b/internal/fleet/promoter/world_test.go
@@ -119,7 +119,7 @@
 
 func newWorld(seed uint64, daemons, old int, routes []testRoute, bad *badness, d time.Duration) *world {
 	w := &world{
-		now: time.Unix(1e9, 0), random: rand.New(rand.NewPCG(seed, 9)), routes: routes, bad: bad, old: old, promoter: New(Config{Share: share}),
+		now: time.Unix(1e9, 0), random: rand.New(rand.NewPCG(seed, 9)), routes: routes, bad: bad, old: old, promoter: New(Config{MaxShare: share}),
 		load: make(map[identifier.Endpoint]int), told: make(map[string][]splitter.Tally), ran: make(map[string]int),
 		order: &rollout.Rollout{Service: service, Target: newVersion, Duration: d, Revision: 1},
 	}
@@ -208,7 +208,7 @@
 		in.Running[service] += n
 	}
 	for _, step := range w.promoter.Step(in) {
-		if step.News && step.Reason != "" {
+		if step.Changed && step.Reason != "" {
 			w.reason = step.Reason
 		}
 		w.beat++
@@ -220,7 +220,7 @@
 		}
 		w.daemons[0].ApplyGrant(&g, "holder")
 		each := w.post
-		if step.News {
+		if step.Changed {
 			each = func(do func()) {
 				w.mail = append(w.mail, letter{w.now.Add(time.Duration(w.random.Float64() * float64(300*time.Millisecond))), do})
 			}
--- a/internal/fleet/reconciler/reconciler.go
+++ b/internal/fleet/reconciler/reconciler.go
@@ -31,7 +31,7 @@
 	"brasschute/internal/core/waiter"
 	"brasschute/internal/engine/caller"
 	"brasschute/internal/engine/order"
-	"brasschute/internal/fleet/trail"
+	"brasschute/internal/fleet/auditor"
 	"brasschute/internal/route/candidate"
 	"brasschute/internal/route/registry"
 
@@ -60,7 +60,7 @@
 	Registry *registry.Registry
 	Caller   *caller.Caller
 	Lease    Lease
-	Trail    *trail.Trail
+	Trail    *auditor.Trail
 	Logger   *log.Logger
 	Period   time.Duration
 }
@@ -166,7 +166,7 @@
 	if err != nil {
 		outcome = err.Error()
 	}
-	e := trail.Entry{
+	e := auditor.Entry{
 		When: time.Now().UTC(), Who: fmt.Sprintf("%s (lease %d)", r.c.Host, fencing), Host: c.Host,
 		What: fmt.Sprintf("load %s on %s", p.Model, c.Endpoint), Outcome: outcome, ID: uuid.NewString(),
 		Cause: fmt.Sprintf("configuration %d wants %s in pool %s, found %q", r.c.Keeper.Number(), p.Model, p.Name, had),
--- a/internal/fleet/repairer/record.go
+++ b/internal/fleet/repairer/record.go
@@ -86,7 +86,7 @@
 
 // rests tells whether a place refused and has not rested long enough.
 func (r *Record) rests(p planner.Place) bool {
-	return time.Now().Before(r.Resting()[p])
+	return time.Now().Before(r.BackoffUntil()[p])
 }
 
 // refuse lets a place rest, longer each time.
@@ -102,8 +102,8 @@
 	f.UntilUnixMilli = time.Now().Add(pause/2 + rand.N(pause)).UnixMilli()
 }
 
-// Resting returns the end of the pause of each place that refused.
-func (r *Record) Resting() map[planner.Place]time.Time {
+// BackoffUntil returns the end of the pause of each place that refused.
+func (r *Record) BackoffUntil() map[planner.Place]time.Time {
 	out := make(map[planner.Place]time.Time)
 	for _, f := range r.Refusals {
 		out[f.Place] = time.UnixMilli(f.UntilUnixMilli)
--- a/internal/fleet/repairer/repairer.go
+++ b/internal/fleet/repairer/repairer.go
@@ -42,7 +42,7 @@
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/core/waiter"
 	"brasschute/internal/fleet/planner"
-	"brasschute/internal/fleet/trail"
+	"brasschute/internal/fleet/auditor"
 	"brasschute/internal/platform/cloud"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/platform/object"
@@ -88,7 +88,7 @@
 
 // Trail records steps.
 type Trail interface {
-	Add(ctx context.Context, entries ...trail.Entry) error
+	Add(ctx context.Context, entries ...auditor.Entry) error
 }
 
 // Config names the repairer's collaborators.
@@ -112,7 +112,7 @@
 	record  Record
 	version uint64
 	known   bool
-	entries []trail.Entry
+	entries []auditor.Entry
 	// fresh are the tokens of this plan that have not been asked for yet.
 	fresh map[string]bool
 	// hosts are those of this round: planning and counting must not see two
@@ -260,16 +260,16 @@
 
 // views lists the pools that have a wanted size in this zone, those that lack
 // the largest part of it first.
-func (r *Repairer) views(d *document.Configuration, next *Record) []*planner.View {
-	refused := next.Resting()
-	var out []*planner.View
+func (r *Repairer) views(d *document.Configuration, next *Record) []*planner.Input {
+	refused := next.BackoffUntil()
+	var out []*planner.Input
 	lack := make(map[identifier.Pool]float64)
 	for i := range d.Pools {
 		for _, w := range d.Pools[i].Wanted {
 			if w.AvailabilityZone != r.c.Zone {
 				continue
 			}
-			v := &planner.View{
+			v := &planner.Input{
 				Zone: r.c.Zone, Pool: d.Pools[i].Name, Wanted: w.Hosts, Hosts: r.hosts, Leaving: r.c.Hosts.HostLeaving,
 				Refused: refused, Now: time.Now(), Prices: d.Prices, SpendingPerHour: d.Fleet.SpendingPerHour,
 			}
@@ -277,7 +277,7 @@
 			out = append(out, v)
 		}
 	}
-	slices.SortStableFunc(out, func(a, b *planner.View) int {
+	slices.SortStableFunc(out, func(a, b *planner.Input) int {
 		if lack[a.Pool] > lack[b.Pool] {
 			return -1
 		}
@@ -301,7 +301,7 @@
 
 func (r *Repairer) note(h identifier.Host, what, cause, outcome string) {
 	fencing, _ := r.c.Lease.Held()
-	r.entries = append(r.entries, trail.Entry{
+	r.entries = append(r.entries, auditor.Entry{
 		When: time.Now().UTC(), Who: fmt.Sprintf("%s (lease %d)", r.c.Host, fencing), Host: h,
 		What: what, Cause: cause, Outcome: outcome, ID: uuid.NewString(),
 	})
--- a/internal/fleet/repairer/repairer_test.go
+++ b/internal/fleet/repairer/repairer_test.go
@@ -17,7 +17,7 @@
 	"brasschute/internal/config/keeper"
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/fleet/planner"
-	"brasschute/internal/fleet/trail"
+	"brasschute/internal/fleet/auditor"
 	"brasschute/internal/platform/cloud"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/platform/object"
@@ -48,7 +48,7 @@
 	// the place runs out of hosts.
 	loses int
 	down  bool
-	trail []trail.Entry
+	trail []auditor.Entry
 
 	// calls counts the calls of this life; at dieAt the controller dies,
 	// before or after the call has its effect.
@@ -145,7 +145,7 @@
 	})
 }
 
-func (w *world) Add(_ context.Context, entries ...trail.Entry) error {
+func (w *world) Add(_ context.Context, entries ...auditor.Entry) error {
 	return w.call(func() error {
 		w.trail = append(w.trail, entries...)
 		return nil
--- a/internal/fleet/sizer/sizer.go
+++ b/internal/fleet/sizer/sizer.go
@@ -68,18 +68,18 @@
 	Running float64
 }
 
-// CapacityOf returns the capacity of an engine that reads so many prompt tokens a
+// EngineCapacity returns the capacity of an engine that reads so many prompt tokens a
 // second, its fixed time apart, and runs so many requests at once; 0 if that is not
 // known.
-func CapacityOf(speed float64, slots int) Capacity {
+func EngineCapacity(speed float64, slots int) Capacity {
 	if slots <= 0 {
 		slots = unknownSlots
 	}
 	return Capacity{Tokens: busyPart * speed, Running: fullPart * float64(slots)}
 }
 
-// Need returns how many endpoints the demand asks for.
-func (c Capacity) Need(d demandmeter.Demand) float64 {
+// EndpointsFor returns how many endpoints the demand asks for.
+func (c Capacity) EndpointsFor(d demandmeter.Demand) float64 {
 	return max(d.Tokens/max(c.Tokens, 1), float64(d.Running)/max(c.Running, 1))
 }
 
@@ -89,27 +89,27 @@
 	// OnDemand are listed, or ordered and still on their way.
 	OnDemand    int
 	Reclaimable int
-	// Coming is the number of reclaimable endpoints once those on their way are
+	// ReclaimableWithPending is the number of reclaimable endpoints once those on their way are
 	// there.
-	Coming int
-	// Dry: reclaimable endpoints are not to be had here now.
-	Dry bool
+	ReclaimableWithPending int
+	// ReclaimableUnavailable: reclaimable endpoints are not to be had here now.
+	ReclaimableUnavailable bool
 }
 
 // expected is how many reclaimable endpoints there will be within the time that one
 // takes to start.
 func (z *Zone) expected() int {
-	if z.Dry {
+	if z.ReclaimableUnavailable {
 		return z.Reclaimable
 	}
-	return max(z.Reclaimable, z.Coming)
+	return max(z.Reclaimable, z.ReclaimableWithPending)
 }
 
 // Input is what a decision needs to know.
 type Input struct {
 	Scale *catalog.Scale
-	// Need is the number of endpoints for the load.
-	Need float64
+	// Required is the number of endpoints for the load.
+	Required float64
 	// Spare are endpoints wanted besides, if they are reclaimable.
 	Spare float64
 	Zones []Zone
@@ -139,11 +139,11 @@
 		p.out[i] = Wanted{Zone: z.Zone, OnDemand: z.OnDemand}
 	}
 	if p.worthReclaiming() {
-		p.reclaimable(in.Need + in.Spare)
-		p.onDemand(in.Need)
+		p.reclaimable(in.Required + in.Spare)
+		p.onDemand(in.Required)
 		return p.out
 	}
-	p.settle(int(math.Ceil(in.Need * (1 + onDemandSpare))))
+	p.settle(int(math.Ceil(in.Required * (1 + onDemandSpare))))
 	return p.out
 }
 
@@ -159,13 +159,13 @@
 func (p *plan) reclaimable(need float64) {
 	open := 0
 	for _, z := range p.zones {
-		if !z.Dry {
+		if !z.ReclaimableUnavailable {
 			open++
 		}
 	}
 	for i, z := range p.zones {
 		zones := len(p.zones)
-		if !z.Dry && open > 1 {
+		if !z.ReclaimableUnavailable && open > 1 {
 			zones = open
 		}
 		each := max(int(math.Ceil(need/float64(zones-1))), 1)
--- a/internal/fleet/sizer/sizer_test.go
+++ b/internal/fleet/sizer/sizer_test.go
@@ -38,9 +38,9 @@
 // replaced them: four engines were left for the load of seventeen, and one
 // request in two failed for half a minute.
 func TestReclaimsInWaves(t *testing.T) {
-	in := &Input{Scale: scale(), Need: 17, Zones: zones(1, 5)}
+	in := &Input{Scale: scale(), Required: 17, Zones: zones(1, 5)}
 	for gone := range in.Zones {
-		in.Zones[gone].Reclaimable, in.Zones[gone].Dry = 0, true
+		in.Zones[gone].Reclaimable, in.Zones[gone].ReclaimableUnavailable = 0, true
 		live := 0
 		for _, z := range in.Zones {
 			live += z.Reclaimable
@@ -60,9 +60,9 @@
 }
 
 func TestCheapZonesFirst(t *testing.T) {
-	in := &Input{Scale: scale(), Need: 6, Zones: zones(1, 0)}
+	in := &Input{Scale: scale(), Required: 6, Zones: zones(1, 0)}
 	for i := range in.Zones {
-		in.Zones[i].Dry = true
+		in.Zones[i].ReclaimableUnavailable = true
 	}
 	for _, w := range Size(in) {
 		want := map[identifier.AvailabilityZone]int{"a": 1, "b": 2, "c": 1, "d": 2}[w.Zone]
@@ -74,14 +74,14 @@
 
 // drawn is any pool that may be listed.
 func drawn(t *rapid.T) *Input {
-	in := &Input{Scale: scale(), Need: rapid.Float64Range(0, 18).Draw(t, "need")}
+	in := &Input{Scale: scale(), Required: rapid.Float64Range(0, 18).Draw(t, "need")}
 	in.Scale.ReclaimablePriceRatio = rapid.SampledFrom([]float64{0, 0.15, 0.3, 0.74, 0.9, 1}).Draw(t, "price")
 	for zone := range prices {
 		z := Zone{
 			Zone: zone, OnDemand: rapid.IntRange(0, 6).Draw(t, "od"+string(zone)),
-			Reclaimable: rapid.IntRange(0, 5).Draw(t, "r"+string(zone)), Dry: rapid.Bool().Draw(t, "dry"+string(zone)),
+			Reclaimable: rapid.IntRange(0, 5).Draw(t, "r"+string(zone)), ReclaimableUnavailable: rapid.Bool().Draw(t, "dry"+string(zone)),
 		}
-		z.Coming = z.Reclaimable + rapid.IntRange(0, 2).Draw(t, "coming"+string(zone))
+		z.ReclaimableWithPending = z.Reclaimable + rapid.IntRange(0, 2).Draw(t, "coming"+string(zone))
 		in.Zones = append(in.Zones, z)
 	}
 	return in
@@ -108,7 +108,7 @@
 				t.Fatalf("%+v leaves a zone with %d reclaimable ones below the least", w, listed[w.Zone].Reclaimable)
 			}
 		}
-		reversed := &Input{Scale: in.Scale, Need: in.Need}
+		reversed := &Input{Scale: in.Scale, Required: in.Required}
 		for i := range in.Zones {
 			reversed.Zones = append(reversed.Zones, in.Zones[len(in.Zones)-1-i])
 		}
@@ -147,11 +147,11 @@
 			return z.expected()
 		}
 		all, left, room := carried(Size(in), expected, in.Scale.Max)
-		if float64(all) < in.Need && room > 0 {
-			t.Fatalf("%d endpoints of a need of %.1f, with room for %d", all, in.Need, room)
+		if float64(all) < in.Required && room > 0 {
+			t.Fatalf("%d endpoints of a need of %.1f, with room for %d", all, in.Required, room)
 		}
-		if float64(left) < leastPart*in.Need && room > 0 {
-			t.Fatalf("%d endpoints left of a need of %.1f, with room for %d", left, in.Need, room)
+		if float64(left) < leastPart*in.Required && room > 0 {
+			t.Fatalf("%d endpoints left of a need of %.1f, with room for %d", left, in.Required, room)
 		}
 	})
 }
@@ -160,14 +160,14 @@
 // ones that a zone's loss asks for; where there are none, all are on-demand.
 func TestDearReclaimableEndpointsAreNotOrdered(t *testing.T) {
 	for _, price := range []float64{0, 0.8, 1} {
-		in := &Input{Scale: scale(), Need: 8, Zones: zones(2, 0)}
+		in := &Input{Scale: scale(), Required: 8, Zones: zones(2, 0)}
 		in.Scale.ReclaimablePriceRatio = price
 		onDemand, reclaimable := total(Size(in))
 		if reclaimable != 0 || onDemand < 9 {
 			t.Errorf("price %.1f: %d on demand and %d reclaimable for a need of 8", price, onDemand, reclaimable)
 		}
 	}
-	in := &Input{Scale: scale(), Need: 8, Zones: zones(0, 3)}
+	in := &Input{Scale: scale(), Required: 8, Zones: zones(0, 3)}
 	if onDemand, reclaimable := total(Size(in)); onDemand != 0 || reclaimable != 12 {
 		t.Errorf("%d on demand and %d reclaimable for a need of 8", onDemand, reclaimable)
 	}
@@ -175,9 +175,9 @@
 
 // On-demand endpoints stay until the reclaimable ones that follow them are there.
 func TestOnDemandEndpointsAwaitTheirSuccessors(t *testing.T) {
-	in := &Input{Scale: scale(), Need: 8, Zones: zones(2, 0)}
+	in := &Input{Scale: scale(), Required: 8, Zones: zones(2, 0)}
 	for i := range in.Zones {
-		in.Zones[i].Coming = 3
+		in.Zones[i].ReclaimableWithPending = 3
 	}
 	if onDemand, _ := total(Size(in)); onDemand != 8 {
 		t.Errorf("%d on demand while the reclaimable ones start", onDemand)
@@ -194,13 +194,13 @@
 // engines were wanted for 300 running requests, and each new one waited for a slot.
 func TestFewSlotsWantMoreEngines(t *testing.T) {
 	demand := demandmeter.Demand{Tokens: 12 * 14_000, Running: 300}
-	if need := CapacityOf(14_000/busyPart, 16).Need(demand); need*16 < 300 {
+	if need := EngineCapacity(14_000/busyPart, 16).EndpointsFor(demand); need*16 < 300 {
 		t.Errorf("%.0f engines of 16 slots for 300 requests", need)
 	}
-	if need := CapacityOf(14_000/busyPart, 128).Need(demand); need > 13 {
+	if need := EngineCapacity(14_000/busyPart, 128).EndpointsFor(demand); need > 13 {
 		t.Errorf("%.0f engines of 128 slots", need)
 	}
-	if need := CapacityOf(14_000/busyPart, 0).Need(demand); need > 13 {
+	if need := EngineCapacity(14_000/busyPart, 0).EndpointsFor(demand); need > 13 {
 		t.Errorf("%.0f engines of unknown slots", need)
 	}
 }
--- a/internal/fleet/sweeper/sweeper.go
+++ b/internal/fleet/sweeper/sweeper.go
@@ -33,11 +33,11 @@
 
 const (
 	defaultPeriod = 10 * time.Minute
-	// MemberAge is the age at which a record of a member is removed; daemons
+	// MaxMemberAge is the age at which a record of a member is removed; daemons
 	// renew theirs several times within it.
-	MemberAge = 4 * time.Hour
-	// HeldAge is how long an answer waits for its caller.
-	HeldAge = 7 * 24 * time.Hour
+	MaxMemberAge = 4 * time.Hour
+	// MaxHeldAge is how long an answer waits for its caller.
+	MaxHeldAge = 7 * 24 * time.Hour
 )
 
 // Store is the platform's object API.
@@ -102,9 +102,9 @@
 	if strings.HasPrefix(o.Key, inventory.HeldPrefix) {
 		var h transferrer.HeldAnswer
 		ok = json.Unmarshal(o.Value, &h) == nil && h.AtUnix > 0
-		return now.Sub(time.Unix(h.AtUnix, 0)), HeldAge, ok
+		return now.Sub(time.Unix(h.AtUnix, 0)), MaxHeldAge, ok
 	}
 	var m inventory.Member
 	ok = json.Unmarshal(o.Value, &m) == nil && m.RenewedUnix > 0
-	return now.Sub(time.Unix(m.RenewedUnix, 0)), MemberAge, ok
+	return now.Sub(time.Unix(m.RenewedUnix, 0)), MaxMemberAge, ok
 }
--- a/internal/fleet/tallier/tallier.go
+++ b/internal/fleet/usagecounter/usagecounter.go
@@ -6,7 +6,7 @@
 //	t := tallier.New(tallier.Config{Window: 5 * time.Second, Now: clock.Now})
 //	t.Began("desk")
 //	counts := t.Counts() // of the last windows
-package tallier
+package usagecounter
 
 import (
 	"sync"
@@ -19,7 +19,7 @@
 // for, and what time it is.
 type Config struct {
 	Window time.Duration
-	Keep   time.Duration
+	Retention   time.Duration
 	Now    func() time.Time
 }
 
@@ -35,8 +35,8 @@
 	organisation identifier.Organisation
 }
 
-// Tallier counts. It is safe for concurrent use.
-type Tallier struct {
+// Counter counts. It is safe for concurrent use.
+type Counter struct {
 	c Config
 
 	mu     sync.Mutex
@@ -44,17 +44,17 @@
 }
 
 // New returns a tallier that has counted nothing.
-func New(c Config) *Tallier { return &Tallier{c: c, counts: make(map[key]int)} }
+func New(c Config) *Counter { return &Counter{c: c, counts: make(map[key]int)} }
 
-// Window is the number of the window at a time: windows count from 1970.
-func (t *Tallier) Window(at time.Time) int64 { return at.UnixNano() / int64(t.c.Window) }
+// WindowAt is the number of the window at a time: windows count from 1970.
+func (t *Counter) WindowAt(at time.Time) int64 { return at.UnixNano() / int64(t.c.Window) }
 
-// End is when a window ends.
-func (t *Tallier) End(window int64) time.Time { return time.Unix(0, (window+1)*int64(t.c.Window)) }
+// WindowEnd is when a window ends.
+func (t *Counter) WindowEnd(window int64) time.Time { return time.Unix(0, (window+1)*int64(t.c.Window)) }
 
-// Began counts a request that begins to run now.
-func (t *Tallier) Began(o identifier.Organisation) {
-	window := t.Window(t.c.Now())
+// RequestStarted counts a request that begins to run now.
+func (t *Counter) RequestStarted(o identifier.Organisation) {
+	window := t.WindowAt(t.c.Now())
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if _, known := t.counts[key{window, o}]; !known {
@@ -68,10 +68,10 @@
 }
 
 // oldest is the first window that may still be asked for.
-func (t *Tallier) oldest() int64 { return t.Window(t.c.Now().Add(-t.c.Keep)) }
+func (t *Counter) oldest() int64 { return t.WindowAt(t.c.Now().Add(-t.c.Retention)) }
 
 // Counts returns what was counted in the last windows.
-func (t *Tallier) Counts() []Count {
+func (t *Counter) Counts() []Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := make([]Count, 0, len(t.counts))
--- a/internal/fleet/accountant/accountant.go
+++ b/internal/fleet/usagereporter/usagereporter.go
@@ -19,7 +19,7 @@
 //
 //	a := accountant.New(accountant.Config{...})
 //	a.Step(ctx, fencing) // several times a second while the duty is held
-package accountant
+package usagereporter
 
 import (
 	"context"
@@ -59,16 +59,16 @@
 	// Now is the true time; Window the length of a window.
 	Now    func() time.Time
 	Window time.Duration
-	// Due is how long after its end a window may be reported; Settle how long
+	// ReportWithin is how long after its end a window may be reported; Settle how long
 	// counts of other daemons take to arrive.
-	Due    time.Duration
-	Settle func() time.Duration
-	// Counted returns what each daemon counted, as far as it is known.
-	Counted func() []Counted
+	ReportWithin    time.Duration
+	SettleDelay func() time.Duration
+	// DaemonCounts returns what each daemon counted, as far as it is known.
+	DaemonCounts func() []DaemonCounts
 	// Organisations are those that a report names, counted or not.
 	Organisations func() []identifier.Organisation
-	// Report sends a window's counts.
-	Report func(ctx context.Context, fencing uint64, window int64, counts Counts) error
+	// Send sends a window's counts.
+	Send func(ctx context.Context, fencing uint64, window int64, counts Counts) error
 	Logger *log.Logger
 }
 
@@ -78,8 +78,8 @@
 // Counts are numbers of requests.
 type Counts map[identifier.Organisation]int
 
-// Counted is what one daemon counted, by window.
-type Counted struct {
+// DaemonCounts is what one daemon counted, by window.
+type DaemonCounts struct {
 	Source  Source
 	Windows map[int64]Counts
 }
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// Accountant reports. It is for one goroutine.
-type Accountant struct {
+// Reporter reports. It is for one goroutine.
+type Reporter struct {
 	c       Config
 	fencing uint64
 	record  record
@@ -123,18 +123,18 @@
 }
 
 // New returns an accountant that has sent nothing.
-func New(c Config) *Accountant { return &Accountant{c: c, sent: make(map[int64]bool)} }
+func New(c Config) *Reporter { return &Reporter{c: c, sent: make(map[int64]bool)} }
 
 // Step settles and sends the windows that are due. A report that fails is sent
 // again with the next step, and does not hold up the others.
-func (a *Accountant) Step(ctx context.Context, fencing uint64) {
+func (a *Reporter) Step(ctx context.Context, fencing uint64) {
 	if fencing != a.fencing {
 		// Another holder may have settled windows in between.
 		a.fencing, a.known = fencing, false
 	}
 	now := a.c.Now()
-	newest := now.Add(-a.c.Settle()).UnixNano()/int64(a.c.Window) - 1
-	oldest := now.Add(-a.c.Due).UnixNano() / int64(a.c.Window)
+	newest := now.Add(-a.c.SettleDelay()).UnixNano()/int64(a.c.Window) - 1
+	oldest := now.Add(-a.c.ReportWithin).UnixNano() / int64(a.c.Window)
 	for window := oldest; window <= newest; window++ {
 		if a.sent[window] {
 			continue
@@ -152,7 +152,7 @@
 }
 
 // save keeps the open windows in the store.
-func (a *Accountant) save(ctx context.Context) {
+func (a *Reporter) save(ctx context.Context) {
 	if time.Since(a.saved) < savePause {
 		return
 	}
@@ -167,12 +167,12 @@
 	}
 }
 
-func (a *Accountant) report(ctx context.Context, number int64) error {
+func (a *Reporter) report(ctx context.Context, number int64) error {
 	w, err := a.settle(ctx, number)
 	if err != nil {
 		return err
 	}
-	if err := a.c.Report(ctx, a.fencing, number, w.Counts); err != nil {
+	if err := a.c.Send(ctx, a.fencing, number, w.Counts); err != nil {
 		return err
 	}
 	a.sent[number] = true
@@ -181,7 +181,7 @@
 }
 
 // settle returns a window's final counts.
-func (a *Accountant) settle(ctx context.Context, number int64) (*window, error) {
+func (a *Reporter) settle(ctx context.Context, number int64) (*window, error) {
 	if !a.known {
 		if err := a.read(ctx); err != nil {
 			return nil, err
@@ -190,7 +190,7 @@
 	if w := a.record.find(number); w != nil {
 		return w, nil
 	}
-	next := append(slices.Clone(a.record.Windows), window{number, a.sum(number, a.c.Counted())})
+	next := append(slices.Clone(a.record.Windows), window{number, a.sum(number, a.c.DaemonCounts())})
 	if kept := a.open() + spare; len(next) > kept {
 		next = next[len(next)-kept:]
 	}
@@ -203,7 +203,7 @@
 // skip leaves out the windows that have ended. What was settled of them is lost, and may
 // have been sent: a second report with other counts is worse than none, and without
 // this all later windows would never be reported.
-func (a *Accountant) skip() {
+func (a *Reporter) skip() {
 	newest := a.c.Now().UnixNano() / int64(a.c.Window)
 	for number := newest - int64(a.open()); number < newest; number++ {
 		a.sent[number] = true
@@ -211,11 +211,11 @@
 }
 
 // open is how many windows before the present one may still be open.
-func (a *Accountant) open() int { return int(a.c.Due/a.c.Window) + 1 }
+func (a *Reporter) open() int { return int(a.c.ReportWithin/a.c.Window) + 1 }
 
 // write stores settled windows and what is counted of open ones.
-func (a *Accountant) write(ctx context.Context, windows []window) error {
-	counted := a.c.Counted()
+func (a *Reporter) write(ctx context.Context, windows []window) error {
+	counted := a.c.DaemonCounts()
 	next := record{Windows: windows, Sources: slices.Clone(a.from)}
 	newest := a.c.Now().UnixNano() / int64(a.c.Window)
 	for number := newest - int64(a.open()); number <= newest; number++ {
@@ -240,7 +240,7 @@
 
 // sum adds up a window: what was inherited, or what the same daemons are known
 // to have counted if that is more, and what others counted.
-func (a *Accountant) sum(number int64, counted []Counted) Counts {
+func (a *Reporter) sum(number int64, counted []DaemonCounts) Counts {
 	out, same := make(Counts), make(Counts)
 	for _, o := range a.c.Organisations() {
 		out[o] = 0
@@ -267,7 +267,7 @@
 	return out
 }
 
-func (a *Accountant) read(ctx context.Context) error {
+func (a *Reporter) read(ctx context.Context) error {
 	o, err := a.c.Store.Get(ctx, Key)
 	if errors.Is(err, object.ErrMissing) {
 		a.record, a.version, a.known = record{}, object.Absent, true
--- a/internal/fleet/accountant/accountant_test.go
+++ b/internal/fleet/usagereporter/usagereporter_test.go
@@ -1,4 +1,4 @@
-package accountant
+package usagereporter
 
 import (
 	"context"
@@ -70,19 +70,19 @@
 	return nil
 }
 
-func (w *world) accountant(counted func() []Counted) *Accountant {
+func (w *world) accountant(counted func() []DaemonCounts) *Reporter {
 	return New(Config{
-		Store: w, Now: func() time.Time { return w.now }, Window: length, Due: 9 * time.Second,
-		Settle: func() time.Duration { return 2 * time.Second }, Counted: counted,
+		Store: w, Now: func() time.Time { return w.now }, Window: length, ReportWithin: 9 * time.Second,
+		SettleDelay: func() time.Duration { return 2 * time.Second }, DaemonCounts: counted,
 		Organisations: func() []identifier.Organisation { return []identifier.Organisation{"desk"} },
-		Report:        w.report, Logger: log.New(io.Discard),
+		Send:        w.report, Logger: log.New(io.Discard),
 	})
 }
 
 func (w *world) window() int64 { return w.now.UnixNano() / int64(length) }
 
-func counted(source Source, window int64, n int) Counted {
-	return Counted{Source: source, Windows: map[int64]Counts{window: {"desk": n}}}
+func counted(source Source, window int64, n int) DaemonCounts {
+	return DaemonCounts{Source: source, Windows: map[int64]Counts{window: {"desk": n}}}
 }
 
 // The holder sends a report, the answer is lost, and its successor has counted
@@ -91,7 +91,7 @@
 	w := newWorld()
 	window := w.window()
 	n := 10
-	list := func() []Counted { return []Counted{counted(1, window, n)} }
+	list := func() []DaemonCounts { return []DaemonCounts{counted(1, window, n)} }
 	w.now = w.now.Add(length + 3*time.Second)
 	w.lose = true
 	first := w.accountant(list)
@@ -110,9 +110,9 @@
 func TestCountsSurviveTheEndOfAllDaemons(t *testing.T) {
 	w := newWorld()
 	window := w.window()
-	w.accountant(func() []Counted { return []Counted{counted(1, window, 30), counted(2, window, 5)} }).Step(t.Context(), 1)
+	w.accountant(func() []DaemonCounts { return []DaemonCounts{counted(1, window, 30), counted(2, window, 5)} }).Step(t.Context(), 1)
 	w.now = w.now.Add(length + 3*time.Second)
-	w.accountant(func() []Counted { return []Counted{counted(3, window, 7)} }).Step(t.Context(), 2)
+	w.accountant(func() []DaemonCounts { return []DaemonCounts{counted(3, window, 7)} }).Step(t.Context(), 2)
 	if w.reports[window] != "map[desk:42]" {
 		t.Errorf("reported %s, want 42", w.reports[window])
 	}
@@ -123,10 +123,10 @@
 func TestCountsOfDaemonsThatLiveCountOnce(t *testing.T) {
 	w := newWorld()
 	window := w.window()
-	w.accountant(func() []Counted { return []Counted{counted(1, window, 30), counted(2, window, 5)} }).Step(t.Context(), 1)
+	w.accountant(func() []DaemonCounts { return []DaemonCounts{counted(1, window, 30), counted(2, window, 5)} }).Step(t.Context(), 1)
 	w.now = w.now.Add(length + 3*time.Second)
-	w.accountant(func() []Counted {
-		return []Counted{counted(1, window, 30), counted(2, window, 9), counted(3, window, 1)}
+	w.accountant(func() []DaemonCounts {
+		return []DaemonCounts{counted(1, window, 30), counted(2, window, 9), counted(3, window, 1)}
 	}).Step(t.Context(), 2)
 	if w.reports[window] != "map[desk:40]" {
 		t.Errorf("reported %s, want 40", w.reports[window])
@@ -137,7 +137,7 @@
 	w := newWorld()
 	window := w.window()
 	w.now = w.now.Add(length + 3*time.Second)
-	w.accountant(func() []Counted { return nil }).Step(t.Context(), 1)
+	w.accountant(func() []DaemonCounts { return nil }).Step(t.Context(), 1)
 	if w.reports[window] != "map[desk:0]" {
 		t.Errorf("reports %v", w.reports)
 	}
@@ -150,12 +150,12 @@
 		w := newWorld()
 		start := w.window()
 		counts := make(map[int64]int)
-		list := func() []Counted {
-			c := Counted{Source: 1, Windows: make(map[int64]Counts)}
+		list := func() []DaemonCounts {
+			c := DaemonCounts{Source: 1, Windows: make(map[int64]Counts)}
 			for window, n := range counts {
 				c.Windows[window] = Counts{"desk": n}
 			}
-			return []Counted{c}
+			return []DaemonCounts{c}
 		}
 		holder, fencing := w.accountant(list), uint64(1)
 		for range rapid.IntRange(10, 60).Draw(t, "steps") {
@@ -185,7 +185,7 @@
 func TestErrorsAreNotSwallowed(t *testing.T) {
 	w := newWorld()
 	w.down = true
-	a := w.accountant(func() []Counted { return nil })
+	a := w.accountant(func() []DaemonCounts { return nil })
 	if err := a.report(t.Context(), 1); !errors.Is(err, object.ErrUnavailable) {
 		t.Errorf("error %v", err)
 	}
@@ -200,12 +200,12 @@
 			w := newWorld()
 			first := w.window()
 			n := 10
-			list := func() []Counted {
-				out := Counted{Source: 1, Windows: make(map[int64]Counts)}
+			list := func() []DaemonCounts {
+				out := DaemonCounts{Source: 1, Windows: make(map[int64]Counts)}
 				for number := first; number <= w.window(); number++ {
 					out.Windows[number] = Counts{"desk": n}
 				}
-				return []Counted{out}
+				return []DaemonCounts{out}
 			}
 			w.now = w.now.Add(length + 3*time.Second)
 			w.accountant(list).Step(t.Context(), 1)
--- a/internal/ops/chronicler/chronicler.go
+++ b/internal/ops/accesslogger/accesslogger.go
@@ -11,7 +11,7 @@
 //
 //	c := chronicler.New(chronicler.Config{Logger: l, Metrics: scope})
 //	c.RequestEnded(q, &result)
-package chronicler
+package accesslogger
 
 import (
 	"fmt"
@@ -48,8 +48,8 @@
 	Metrics tally.Scope
 }
 
-// Chronicler records the ends of requests. It is safe for concurrent use.
-type Chronicler struct {
+// Logger records the ends of requests. It is safe for concurrent use.
+type Logger struct {
 	c        Config
 	failed   *rate.Limiter
 	answered *rate.Limiter
@@ -71,15 +71,15 @@
 }
 
 // New returns a chronicler.
-func New(c Config) *Chronicler {
-	return &Chronicler{
+func New(c Config) *Logger {
+	return &Logger{
 		c: c, failed: rate.NewLimiter(failedPerSecond, failedPerSecond),
 		answered: rate.NewLimiter(answeredPerSecond, answeredPerSecond), counts: make(map[key]*series),
 	}
 }
 
 // RequestEnded writes down how a request ended.
-func (c *Chronicler) RequestEnded(q *request.Request, r *relayer.Result) {
+func (c *Logger) RequestEnded(q *request.Request, r *relayer.Result) {
 	took := time.Since(q.Received)
 	s := c.series(key{r.Outcome, r.Status, string(q.Service)})
 	s.ended.Inc(1)
@@ -94,7 +94,7 @@
 	c.line(q, r, took)
 }
 
-func (c *Chronicler) line(q *request.Request, r *relayer.Result, took time.Duration) {
+func (c *Logger) line(q *request.Request, r *relayer.Result, took time.Duration) {
 	fields := []any{
 		"request", q.ID, "outcome", r.Outcome, "status", r.Status, "took_ms", took.Milliseconds(),
 		"first_ms", r.TimeToFirst.Milliseconds(), "events", r.Events, "configuration", q.ConfigurationNumber, "service", q.Service,
@@ -139,7 +139,7 @@
 	return b.String()
 }
 
-func (c *Chronicler) series(k key) *series {
+func (c *Logger) series(k key) *series {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	s := c.counts[k]
--- a/internal/ops/chronicler/chronicler_test.go
+++ b/internal/ops/accesslogger/accesslogger_test.go
@@ -1,4 +1,4 @@
-package chronicler
+package accesslogger
 
 import (
 	"bytes"
--- a/internal/ops/queuer/queuer.go
+++ b/internal/ops/asyncwriter/asyncwriter.go
@@ -3,7 +3,7 @@
 // # What it guards against
 //
 // Standard output may be a pipe that nobody reads for a while. A write to it
-// then blocks whoever logs, and with it the request being logged. A [Queuer]
+// then blocks whoever logs, and with it the request being logged. A [Writer]
 // takes each line into a bounded queue and returns; one goroutine writes. When
 // the queue is full, lines are dropped and counted, and the next line that fits
 // is preceded by one that says how many are missing.
@@ -13,7 +13,7 @@
 //	q := queuer.New(queuer.Config{Output: os.Stdout})
 //	go q.Serve(ctx)
 //	logger.New(logger.Config{Output: q})
-package queuer
+package asyncwriter
 
 import (
 	"context"
@@ -39,8 +39,8 @@
 	Lines int
 }
 
-// Queuer is a writer that never blocks. It is safe for concurrent use.
-type Queuer struct {
+// Writer is a writer that never blocks. It is safe for concurrent use.
+type Writer struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
@@ -48,20 +48,20 @@
 }
 
 var (
-	_ io.Writer      = (*Queuer)(nil)
-	_ suture.Service = (*Queuer)(nil)
+	_ io.Writer      = (*Writer)(nil)
+	_ suture.Service = (*Writer)(nil)
 )
 
 // New returns a queuer; nothing is written until it is served.
-func New(c Config) *Queuer {
+func New(c Config) *Writer {
 	if c.Lines == 0 {
 		c.Lines = defaultLines
 	}
-	return &Queuer{out: c.Output, lines: make(chan []byte, c.Lines)}
+	return &Writer{out: c.Output, lines: make(chan []byte, c.Lines)}
 }
 
 // Write queues a copy of one line, or drops it.
-func (q *Queuer) Write(p []byte) (int, error) {
+func (q *Writer) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
 	case q.lines <- line:
@@ -73,10 +73,10 @@
 }
 
 // Dropped counts the lines that were lost since the start.
-func (q *Queuer) Dropped() int64 { return q.total.Load() }
+func (q *Writer) Dropped() int64 { return q.total.Load() }
 
 // Serve writes lines until ctx ends.
-func (q *Queuer) Serve(ctx context.Context) error {
+func (q *Writer) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -87,7 +87,7 @@
 	}
 }
 
-func (q *Queuer) write(line []byte) {
+func (q *Writer) write(line []byte) {
 	if n := q.dropped.Swap(0); n > 0 {
 		fmt.Fprintf(q.out, `{"level":"warn","msg":"log lines dropped","count":%d}`+"\n", n)
 	}
@@ -96,7 +96,7 @@
 }
 
 // Flush writes what is queued, unless the output blocks.
-func (q *Queuer) Flush() {
+func (q *Writer) Flush() {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/ops/queuer/queuer_test.go
+++ b/internal/ops/asyncwriter/asyncwriter_test.go
@@ -1,4 +1,4 @@
-package queuer
+package asyncwriter
 
 import (
 	"bytes"
--- a/internal/ops/commander/commander.go
+++ b/internal/ops/commander/commander.go
@@ -25,7 +25,7 @@
 	"brasschute/internal/config/deployment"
 	"brasschute/internal/config/settings"
 	"brasschute/internal/ops/logger"
-	"brasschute/internal/ops/queuer"
+	"brasschute/internal/ops/asyncwriter"
 	"brasschute/internal/role/controller"
 	"brasschute/internal/role/demonstrator"
 	"brasschute/internal/role/entry"
@@ -276,7 +276,7 @@
 	if err != nil {
 		return err
 	}
-	lines := queuer.New(queuer.Config{Output: k.c.Output})
+	lines := asyncwriter.New(asyncwriter.Config{Output: k.c.Output})
 	defer lines.Flush()
 	go func() { _ = lines.Serve(context.WithoutCancel(ctx)) }()
 	g, err := gateway.New(gateway.Config{
--- a/internal/ops/commander/remote.go
+++ b/internal/ops/commander/remote.go
@@ -11,7 +11,7 @@
 	"strings"
 
 	"brasschute/internal/config/compiler"
-	"brasschute/internal/ops/explainer"
+	"brasschute/internal/ops/printer"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/serve/recorder"
 
@@ -25,10 +25,10 @@
 	numberLine = "# brasschute configuration "
 )
 
-func (k *Commander) client() rpc.Operator { return explainer.Client(k.address, k.key) }
+func (k *Commander) client() rpc.Operator { return printer.Client(k.address, k.key) }
 
 // show prints a message as JSON or, by f, for people.
-func (k *Commander) show(m proto.Message, f func(*explainer.Explainer)) error {
+func (k *Commander) show(m proto.Message, f func(*printer.Printer)) error {
 	switch k.output {
 	case "json":
 		text, err := protojson.MarshalOptions{Multiline: true, EmitUnpopulated: true}.Marshal(m)
@@ -37,7 +37,7 @@
 		}
 		fmt.Fprintln(k.c.Output, string(text))
 	case "text":
-		f(explainer.New(k.c.Output))
+		f(printer.New(k.c.Output))
 	default:
 		return usage(fmt.Sprintf("--output: found %q; allowed: text, json", k.output))
 	}
@@ -48,7 +48,7 @@
 	raw := make([]byte, newKeyBytes)
 	_, _ = rand.Read(raw)
 	key := hex.EncodeToString(raw)
-	fmt.Fprintf(k.c.Output, "Key:  %s\nHash: %s\n", key, explainer.Hash(key))
+	fmt.Fprintf(k.c.Output, "Key:  %s\nHash: %s\n", key, printer.Hash(key))
 	return nil
 }
 
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	return k.show(s, func(e *explainer.Explainer) { e.Status(s) })
+	return k.show(s, func(e *printer.Printer) { e.Status(s) })
 }
 
 func (k *Commander) explain(ctx context.Context) error {
@@ -76,7 +76,7 @@
 	if err := json.Unmarshal([]byte(reply.RecordJson), &rec); err != nil {
 		return fmt.Errorf("explain: %w", err)
 	}
-	explainer.New(k.c.Output).Explain(&rec)
+	printer.New(k.c.Output).Explain(&rec)
 	return nil
 }
 
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	return k.show(reply, func(e *explainer.Explainer) { e.Audit(reply) })
+	return k.show(reply, func(e *printer.Printer) { e.Audit(reply) })
 }
 
 func (k *Commander) drain(ctx context.Context) error {
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	return k.show(reply, func(*explainer.Explainer) { fmt.Fprintln(k.c.Output, "the daemon stops; it was", reply.State) })
+	return k.show(reply, func(*printer.Printer) { fmt.Fprintln(k.c.Output, "the daemon stops; it was", reply.State) })
 }
 
 func (k *Commander) validate(context.Context) error {
@@ -121,7 +121,7 @@
 	if err != nil {
 		return err
 	}
-	if err := k.show(a, func(e *explainer.Explainer) { e.Applied(a) }); err != nil {
+	if err := k.show(a, func(e *printer.Printer) { e.Applied(a) }); err != nil {
 		return err
 	}
 	if n := len(a.Behind) + len(a.Unreachable); n > 0 {
@@ -153,7 +153,7 @@
 	if err != nil {
 		return err
 	}
-	return k.show(c, func(*explainer.Explainer) {
+	return k.show(c, func(*printer.Printer) {
 		fmt.Fprintf(k.c.Output, "%s%d\n%s", numberLine, c.Number, c.Source)
 	})
 }
@@ -163,5 +163,5 @@
 	if err != nil {
 		return err
 	}
-	return k.show(h, func(e *explainer.Explainer) { e.History(h) })
+	return k.show(h, func(e *printer.Printer) { e.History(h) })
 }
--- a/internal/ops/operator/operator.go
+++ b/internal/ops/operator/operator.go
@@ -41,7 +41,7 @@
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/fleet/planner"
 	"brasschute/internal/fleet/repairer"
-	"brasschute/internal/fleet/trail"
+	"brasschute/internal/fleet/auditor"
 	"brasschute/internal/peer/gossiper"
 	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/rpc"
@@ -74,7 +74,7 @@
 	// Peer returns a client for a peer's address.
 	Peer func(address string) rpc.Peer
 	// Trails returns the zones' trails that are known.
-	Trails func() []*trail.Trail
+	Trails func() []*auditor.Trail
 	// Repairs returns the record of a zone's repair.
 	Repairs func(ctx context.Context, zone identifier.AvailabilityZone) (*repairer.Record, error)
 	// State, InFlight and PlatformReachable describe the daemon.
@@ -272,7 +272,7 @@
 }
 
 func (o *Operator) repair(ctx context.Context, c *document.Configuration, pool identifier.Pool, w document.Wanted) *rpc.RepairStatus {
-	v := &planner.View{
+	v := &planner.Input{
 		Zone: w.AvailabilityZone, Pool: pool, Wanted: w.Hosts, Hosts: o.c.Registry.Hosts(), Leaving: o.c.Registry.HostLeaving,
 		Now: time.Now(), Prices: c.Prices, SpendingPerHour: c.Fleet.SpendingPerHour,
 	}
@@ -282,7 +282,7 @@
 		out.Doing = "not known: " + err.Error()
 		record = &repairer.Record{}
 	}
-	v.Pending, v.Refused = record.Pending(), record.Resting()
+	v.Pending, v.Refused = record.Pending(), record.BackoffUntil()
 	d := planner.Plan(v)
 	out.Live, out.Leaving, out.Asked = uint32(d.Live), uint32(d.Leaving), uint32(d.Pending)
 	if out.Doing == "" {
@@ -293,8 +293,8 @@
 
 func doing(d *planner.Decision) string {
 	switch {
-	case d.Missing > 0:
-		return fmt.Sprintf("%d cannot be started: %s", d.Missing, d.Why)
+	case d.Shortfall > 0:
+		return fmt.Sprintf("%d cannot be started: %s", d.Shortfall, d.ShortfallReason)
 	case len(d.Start) > 0:
 		return fmt.Sprintf("about to ask for %d", len(d.Start))
 	case d.Pending > 0:
@@ -380,7 +380,7 @@
 	}
 }
 
-func trailEntry(e *trail.Entry) *rpc.AuditEntry {
+func trailEntry(e *auditor.Entry) *rpc.AuditEntry {
 	return &rpc.AuditEntry{
 		WhenUnixMilli: e.When.UnixMilli(), Who: e.Who, What: e.What, Cause: e.Cause, Outcome: e.Outcome, Host: string(e.Host),
 	}
--- a/internal/ops/explainer/explainer.go
+++ b/internal/ops/printer/printer.go
@@ -5,7 +5,7 @@
 //	explainer.New(os.Stdout).Explain(&record)
 //
 // Programs ask for JSON instead and get the daemon's own messages.
-package explainer
+package printer
 
 import (
 	"context"
@@ -39,18 +39,18 @@
 	return rpc.NewOperatorProtobufClient("http://"+address, http.DefaultClient, twirp.WithClientHooks(hook))
 }
 
-// Explainer writes to one output.
-type Explainer struct {
+// Printer writes to one output.
+type Printer struct {
 	w io.Writer
 }
 
 // New returns an explainer for an output.
-func New(w io.Writer) *Explainer { return &Explainer{w} }
+func New(w io.Writer) *Printer { return &Printer{w} }
 
-func (e *Explainer) printf(format string, values ...any) { fmt.Fprintf(e.w, format, values...) }
+func (e *Printer) printf(format string, values ...any) { fmt.Fprintf(e.w, format, values...) }
 
 // Explain writes why a request was decided as it was.
-func (e *Explainer) Explain(r *recorder.Record) {
+func (e *Printer) Explain(r *recorder.Record) {
 	e.printf("request %s at %s, received %s\n", r.Request, r.Host, r.Received.Format(time.RFC3339Nano))
 	if r.Organisation != "" {
 		e.printf("  asked by %s for %s\n", r.Organisation, r.Service)
@@ -94,7 +94,7 @@
 	return text
 }
 
-func (e *Explainer) attempt(n int, a *recorder.Attempt) {
+func (e *Printer) attempt(n int, a *recorder.Attempt) {
 	if a.Endpoint == "" {
 		e.printf("  attempt %d: no endpoint could serve (%s)\n", n, a.Excluded)
 		return
@@ -113,7 +113,7 @@
 	}
 }
 
-func (e *Explainer) table(rows [][]string) {
+func (e *Printer) table(rows [][]string) {
 	t := tabwriter.NewWriter(e.w, 0, 0, 2, ' ', 0)
 	for _, row := range rows {
 		fmt.Fprintln(t, strings.Join(row, "\t"))
@@ -122,7 +122,7 @@
 }
 
 // Status writes a daemon's view.
-func (e *Explainer) Status(s *rpc.StatusReply) {
+func (e *Printer) Status(s *rpc.StatusReply) {
 	e.printf("%s in %s: %s, configuration %d, platform reachable: %t, %d requests in flight\n",
 		s.Host, s.AvailabilityZone, s.State, s.ConfigurationNumber, s.PlatformReachable, s.RequestsInFlight)
 	if s.RefusedConfiguration != "" {
@@ -143,7 +143,7 @@
 	e.table(rows)
 }
 
-func (e *Explainer) repairs(s *rpc.StatusReply) {
+func (e *Printer) repairs(s *rpc.StatusReply) {
 	if len(s.Repairs) == 0 {
 		return
 	}
@@ -157,7 +157,7 @@
 }
 
 // Applied writes who has a configuration in force.
-func (e *Explainer) Applied(a *rpc.Applied) {
+func (e *Printer) Applied(a *rpc.Applied) {
 	e.printf("configuration %d accepted\nin force at %s\n", a.Number, strings.Join(a.InForce, ", "))
 	if len(a.Behind) > 0 {
 		e.printf("not yet in force at %s\n", strings.Join(a.Behind, ", "))
@@ -168,7 +168,7 @@
 }
 
 // History writes the changes of configuration.
-func (e *Explainer) History(h *rpc.HistoryReply) {
+func (e *Printer) History(h *rpc.HistoryReply) {
 	for _, c := range h.Changes {
 		e.printf("configuration %d by %s at %s, from %d\n", c.Number, c.Who, when(c.WhenUnixMilli), c.From)
 		for _, line := range c.Differs {
@@ -180,7 +180,7 @@
 func when(milli int64) string { return time.UnixMilli(milli).UTC().Format(time.RFC3339) }
 
 // Audit writes the trail.
-func (e *Explainer) Audit(a *rpc.AuditReply) {
+func (e *Printer) Audit(a *rpc.AuditReply) {
 	rows := [][]string{{"WHEN", "WHO", "HOST", "WHAT", "CAUSE", "OUTCOME"}}
 	for _, x := range a.Entries {
 		rows = append(rows, []string{when(x.WhenUnixMilli), x.Who, x.Host, x.What, x.Cause, x.Outcome})
--- a/internal/peer/crashreporter/reporter.go
+++ b/internal/peer/crashreporter/crashreporter.go
@@ -49,7 +49,7 @@
 	Leaving func(*registry.Pick) (deadline time.Time, leaving bool)
 	// Incarnation tells lives of an endpoint apart, in the same way at all daemons; the time of its
 	// start if nil.
-	Incarnation func(*registry.Pick) identifier.Born
+	Incarnation func(*registry.Pick) identifier.StartTime
 	// OnNews is told that there is news: of this daemon's own, or heard from another one.
 	OnNews  func(own bool)
 	Logger  *log.Logger
@@ -78,7 +78,7 @@
 // New returns a reporter that knows nothing.
 func New(c Config) *Reporter {
 	if c.Incarnation == nil {
-		c.Incarnation = func(k *registry.Pick) identifier.Born { return k.Born }
+		c.Incarnation = func(k *registry.Pick) identifier.StartTime { return k.Born }
 	}
 	r := &Reporter{c: c, prober: prober.New(prober.Config{Dialer: c.Dialer}), lines: rate.NewLimiter(linesPerSecond, linesPerSecond)}
 	r.Quarantiner = quarantiner.New(quarantiner.Config{Host: c.Host, OnChange: r.changed})
@@ -195,7 +195,7 @@
 		list[i].Fingerprint = identifier.Fingerprint(s.GetFingerprint())
 		for _, e := range s.GetEndings() {
 			list[i].Endings = append(list[i].Endings, quarantiner.Ending{
-				Endpoint: identifier.Endpoint(e.GetEndpoint()), Born: identifier.Born(e.GetBorn()), Seen: identifier.Host(e.GetHost()),
+				Endpoint: identifier.Endpoint(e.GetEndpoint()), Born: identifier.StartTime(e.GetBorn()), Seen: identifier.Host(e.GetHost()),
 				At: now.Add(-age(e)), Weak: e.GetWeak(), Void: e.GetVoid(),
 			})
 		}
--- a/internal/peer/gossiper/exchanger.go
+++ b/internal/peer/gossiper/gossiper.go
@@ -298,7 +298,7 @@
 func (x *Gossiper) fetch(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTime)
 	defer cancel()
-	patient := watchdog.New(watchdog.Config{Transport: x.c.Client.Transport, Silence: callTimeout})
+	patient := watchdog.New(watchdog.Config{Transport: x.c.Client.Transport, IdleTimeout: callTimeout})
 	reply, err := rpc.NewPeerProtobufClient("http://"+address, patient).Configuration(ctx, &rpc.ConfigurationRequest{})
 	if err != nil {
 		return
--- a/internal/peer/supplier/supplier.go
+++ b/internal/peer/supplier/supplier.go
@@ -23,7 +23,7 @@
 	"sync"
 	"time"
 
-	"brasschute/internal/core/packer"
+	"brasschute/internal/core/compressor"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/object"
 
@@ -78,7 +78,7 @@
 // Supplier hands out objects and asks for them. It is safe for concurrent use.
 type Supplier struct {
 	c      Config
-	packer packer.Packer
+	packer compressor.Compressor
 	lines  *rate.Limiter
 
 	mu sync.Mutex
@@ -186,7 +186,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("supplier: %w", err)
 	}
-	bytes, err := s.packer.Pack(raw)
+	bytes, err := s.packer.Compress(raw)
 	if err != nil {
 		return nil, fmt.Errorf("supplier: %w", err)
 	}
@@ -245,7 +245,7 @@
 	case len(reply.GetPacked()) == 0:
 		return reply, nil
 	}
-	raw, err := s.packer.Unpack(reply.GetPacked())
+	raw, err := s.packer.Decompress(reply.GetPacked())
 	if err != nil {
 		return nil, fmt.Errorf("snapshot of %s: %w", address, err)
 	}
--- a/internal/platform/client/client.go
+++ b/internal/platform/client/client.go
@@ -71,7 +71,7 @@
 	return &Client{
 		base:    "http://" + c.Address + "/v1/",
 		timeout: c.Timeout,
-		http:    watchdog.New(watchdog.Config{Transport: &http.Transport{DialContext: dialer(c.Source)}, Silence: c.Timeout}),
+		http:    watchdog.New(watchdog.Config{Transport: &http.Transport{DialContext: dialer(c.Source)}, IdleTimeout: c.Timeout}),
 	}
 }
 
--- a/internal/platform/inventory/inventory.go
+++ b/internal/platform/inventory/inventory.go
@@ -50,7 +50,7 @@
 	Class            document.Class
 	Incarnation      identifier.Incarnation
 	// Born is when the host's endpoint started, where the platform tells.
-	Born  identifier.Born `json:",omitempty"`
+	Born  identifier.StartTime `json:",omitempty"`
 	State State
 	// Owner is the zone on whose behalf the host was started, if another.
 	Owner     identifier.AvailabilityZone `json:",omitempty"`
--- a/internal/platform/registrar/registrar.go
+++ b/internal/platform/registrar/registrar.go
@@ -44,7 +44,7 @@
 
 type life struct {
 	endpoint identifier.Endpoint
-	born     identifier.Born
+	born     identifier.StartTime
 	number   identifier.Incarnation
 	revision uint64
 	// first: no other life of the endpoint is known.
@@ -60,7 +60,7 @@
 
 // Register returns the life of which a record in the store tells. born is 0 where the
 // endpoint does not say it.
-func (r *Registrar) Register(e identifier.Endpoint, born identifier.Born, revision uint64) (identifier.Incarnation, error) {
+func (r *Registrar) Register(e identifier.Endpoint, born identifier.StartTime, revision uint64) (identifier.Incarnation, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, ok := r.lives[e]
@@ -98,7 +98,7 @@
 }
 
 // Current returns the present life of an endpoint, if it is the one born then.
-func (r *Registrar) Current(e identifier.Endpoint, born identifier.Born) (identifier.Incarnation, bool) {
+func (r *Registrar) Current(e identifier.Endpoint, born identifier.StartTime) (identifier.Incarnation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known, ok := r.lives[e]
--- a/internal/platform/registrar/registrar_test.go
+++ b/internal/platform/registrar/registrar_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func record(t *testing.T, r *Registrar, born identifier.Born, revision uint64) identifier.Incarnation {
+func record(t *testing.T, r *Registrar, born identifier.StartTime, revision uint64) identifier.Incarnation {
 	t.Helper()
 	n, err := r.Register("i-1", born, revision)
 	if err != nil {
@@ -83,9 +83,9 @@
 func TestLivesNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Registrar
-		revision, births := uint64(0), []identifier.Born{}
+		revision, births := uint64(0), []identifier.StartTime{}
 		for range rapid.IntRange(1, 20).Draw(t, "revisions") {
-			births = append(births, identifier.Born(rapid.IntRange(1, 4).Draw(t, "born")))
+			births = append(births, identifier.StartTime(rapid.IntRange(1, 4).Draw(t, "born")))
 		}
 		var last identifier.Incarnation
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
--- a/internal/role/controller/controller.go
+++ b/internal/role/controller/controller.go
@@ -27,7 +27,7 @@
 	"brasschute/internal/fleet/reconciler"
 	"brasschute/internal/fleet/repairer"
 	"brasschute/internal/fleet/sweeper"
-	"brasschute/internal/fleet/trail"
+	"brasschute/internal/fleet/auditor"
 	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/client"
@@ -63,7 +63,7 @@
 	k.registry = registry.New(registry.Config{LeavingHosts: leaving})
 	platform := client.New(client.Config{Address: s.Platform.String(), Source: s.Source()})
 	lease := leaser.New(leaser.Config{
-		Store: platform, Zone: s.AvailabilityZone, Host: s.Host, Duration: s.Lease.Duration.Std(), Changed: k.leads,
+		Store: platform, Zone: s.AvailabilityZone, Host: s.Host, Duration: s.Lease.Duration.Std(), OnChange: k.leads,
 	})
 	k.tree.Add(watcher.New(watcher.Config{
 		Platform: platform, Sink: k,
@@ -75,7 +75,7 @@
 	}))
 	k.tree.Add(lease)
 	k.tree.Add(sweeper.New(sweeper.Config{Store: platform, Zone: s.AvailabilityZone, Lease: lease}))
-	steps := trail.New(trail.Config{Store: platform, Zone: s.AvailabilityZone})
+	steps := auditor.New(auditor.Config{Store: platform, Zone: s.AvailabilityZone})
 	k.tree.Add(repairer.New(repairer.Config{
 		Host: s.Host, Zone: s.AvailabilityZone, Keeper: k.keeper, Hosts: k.registry, Store: platform,
 		Cloud: cloud.New(cloud.Config{Address: s.Platform.String(), Source: s.Source()}), Lease: lease, Trail: steps, Logger: c.Logger,
--- a/internal/role/demonstrator/demonstrator.go
+++ b/internal/role/demonstrator/demonstrator.go
@@ -31,7 +31,7 @@
 	"brasschute/internal/config/settings"
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/engine/frame"
-	"brasschute/internal/ops/explainer"
+	"brasschute/internal/ops/printer"
 	"brasschute/internal/ops/logger"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/inventory"
@@ -164,7 +164,7 @@
 PeerKey: %s
 OperatorKeys: [{Name: demo, KeyHash: %s}]
 Drain: {BalancerLag: 0s, Patience: 2s}
-`, zone, ports[0], ports[1], ports[2], address, strings.Repeat("d3", 32), explainer.Hash(operatorKey))
+`, zone, ports[0], ports[1], ports[2], address, strings.Repeat("d3", 32), printer.Hash(operatorKey))
 	d.settings, err = settings.Parse("demo settings", []byte(source))
 	if err != nil {
 		return nil, err
@@ -191,7 +191,7 @@
 }
 
 func (d *Demonstrator) operator() rpc.Operator {
-	return explainer.Client(d.settings.Operators.String(), operatorKey)
+	return printer.Client(d.settings.Operators.String(), operatorKey)
 }
 
 // show applies the configuration, sends the requests and prints.
@@ -311,7 +311,7 @@
 	if err := json.Unmarshal([]byte(reply.RecordJson), &rec); err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
-	explainer.New(d.c.Output).Explain(&rec)
+	printer.New(d.c.Output).Explain(&rec)
 	return nil
 }
 
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -46,7 +46,7 @@
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/engine/caller"
 	"brasschute/internal/fleet/repairer"
-	"brasschute/internal/fleet/trail"
+	"brasschute/internal/fleet/auditor"
 	"brasschute/internal/ops/operator"
 	"brasschute/internal/ops/server"
 	"brasschute/internal/peer/gossiper"
@@ -164,7 +164,7 @@
 	e.quarantine = crashreporter.New(crashreporter.Config{
 		Host: s.Host, Dialer: &net.Dialer{LocalAddr: s.Source()}, Leaving: e.registry.Leaving,
 		// The host list numbers the lives of hosts.
-		Incarnation:   func(k *registry.Pick) identifier.Born { return identifier.Born(k.Incarnation) },
+		Incarnation:   func(k *registry.Pick) identifier.StartTime { return identifier.StartTime(k.Incarnation) },
 		OnNews: func(bool) { e.exchanger.Trigger() }, Logger: e.c.Logger, Metrics: e.scope,
 	})
 	e.exchanger = gossiper.New(gossiper.Config{
@@ -274,12 +274,12 @@
 }
 
 // trails are those of the zones in which hosts are listed.
-func (e *Entry) trails() []*trail.Trail {
+func (e *Entry) trails() []*auditor.Trail {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	var out []*trail.Trail
+	var out []*auditor.Trail
 	for zone := range e.zones {
-		out = append(out, trail.New(trail.Config{Store: e.platform, Zone: zone}))
+		out = append(out, auditor.New(auditor.Config{Store: e.platform, Zone: zone}))
 	}
 	return out
 }
--- a/internal/role/gateway/admission.go
+++ b/internal/role/gateway/admission.go
@@ -86,7 +86,7 @@
 // began counts a request that began to run.
 func (g *Gateway) began(q *request.Request) {
 	if q.Organisation != nil {
-		g.tallier.Began(q.Organisation.Name)
+		g.tallier.RequestStarted(q.Organisation.Name)
 	}
 }
 
--- a/internal/role/gateway/duties.go
+++ b/internal/role/gateway/duties.go
@@ -12,9 +12,9 @@
 	"brasschute/internal/config/document"
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/core/waiter"
-	"brasschute/internal/fleet/accountant"
+	"brasschute/internal/fleet/usagereporter"
 	"brasschute/internal/fleet/leaser"
-	"brasschute/internal/fleet/orderer"
+	"brasschute/internal/fleet/autoscaler"
 	"brasschute/internal/fleet/promoter"
 	"brasschute/internal/fleet/sizer"
 	"brasschute/internal/peer/gatherer"
@@ -48,8 +48,8 @@
 type duties struct {
 	g          *Gateway
 	cloud      *platform.Cloud
-	accountant *accountant.Accountant
-	orderer    *orderer.Orderer
+	accountant *usagereporter.Reporter
+	orderer    *autoscaler.Autoscaler
 	promoter   *promoter.Promoter
 	// beat numbers what is told of roll-outs; storing: a state of one is being stored, or
 	// was not a moment ago; lacksTold is when it was last written down what they lack.
@@ -74,17 +74,17 @@
 	}
 	g.lease = leaser.New(leaser.Config{
 		Store: g.store, Key: leaseKey, Host: d.Host, Duration: d.Bounds.LeaseTime, Now: g.uptime,
-		OrderTime: orderTime, Led: g.isLed, Unreadable: func(err error) { g.unreadable([]error{err}) },
-		Changed: func(fencing uint64, held bool) {
+		MaxOrderDelay: orderTime, HeldByOther: g.isLed, OnUnreadable: func(err error) { g.unreadable([]error{err}) },
+		OnChange: func(fencing uint64, held bool) {
 			g.c.Logger.Info("duties", "held", held, "fencing", fencing)
 		},
 	})
-	u := &duties{g: g, cloud: platform.NewCloud(d.Cloud.String(), g.platformCaller()), promoter: promoter.New(promoter.Config{Share: d.Bounds.CanaryShare})}
-	u.accountant = accountant.New(accountant.Config{
-		Store: g.store, Now: g.clock.Now, Window: d.Bounds.UsageWindow, Due: d.Bounds.UsageDue - dueMargin, Settle: g.settleTime,
-		Counted: u.counted, Organisations: u.organisations, Report: u.report, Logger: g.c.Logger,
+	u := &duties{g: g, cloud: platform.NewCloud(d.Cloud.String(), g.platformCaller()), promoter: promoter.New(promoter.Config{MaxShare: d.Bounds.CanaryShare})}
+	u.accountant = usagereporter.New(usagereporter.Config{
+		Store: g.store, Now: g.clock.Now, Window: d.Bounds.UsageWindow, ReportWithin: d.Bounds.UsageDue - dueMargin, SettleDelay: g.settleTime,
+		DaemonCounts: u.counted, Organisations: u.organisations, Send: u.report, Logger: g.c.Logger,
 	})
-	u.orderer = orderer.New(orderer.Config{Order: u.order, Logger: g.c.Logger, Fresh: d.FirstStart})
+	u.orderer = autoscaler.New(autoscaler.Config{SetDesired: u.order, Logger: g.c.Logger, FirstStart: d.FirstStart})
 	g.tree.Add(service(g.keepLease))
 	if !d.FirstStart {
 		g.tree.Add(g.readAtStart("size of the fleet", g.readSize))
@@ -147,20 +147,20 @@
 }
 
 // mandate names the holder, if the lease is still held right before a call.
-func (u *duties) mandate(fencing uint64) (platform.Mandate, error) {
+func (u *duties) mandate(fencing uint64) (platform.LeaseHolder, error) {
 	now, held := u.g.lease.HeldFor()
 	if !held || now != fencing {
-		return platform.Mandate{}, errNotHeld
+		return platform.LeaseHolder{}, errNotHeld
 	}
-	return platform.Mandate{Host: u.g.c.Deployment.Host, Fencing: fencing}, nil
+	return platform.LeaseHolder{Host: u.g.c.Deployment.Host, Fencing: fencing}, nil
 }
 
-func (u *duties) report(ctx context.Context, fencing uint64, window int64, counts accountant.Counts) error {
+func (u *duties) report(ctx context.Context, fencing uint64, window int64, counts usagereporter.Counts) error {
 	m, err := u.mandate(fencing)
 	if err != nil {
 		return err
 	}
-	return u.cloud.Report(ctx, m, window, counts)
+	return u.cloud.ReportUsage(ctx, m, window, counts)
 }
 
 func (u *duties) order(ctx context.Context, fencing uint64, s identifier.Service, z identifier.AvailabilityZone, class document.Class, wanted int) error {
@@ -168,19 +168,19 @@
 	if err != nil {
 		return err
 	}
-	return u.cloud.Order(ctx, m, s, z, class, wanted)
+	return u.cloud.SetDesired(ctx, m, s, z, class, wanted)
 }
 
 // counted returns what each daemon counted, those that ended since included.
-func (u *duties) counted() []accountant.Counted {
-	var out []accountant.Counted
+func (u *duties) counted() []usagereporter.DaemonCounts {
+	var out []usagereporter.DaemonCounts
 	own := u.g.digest()
 	for _, d := range u.newest(own) {
 		name := d.GetHost() + "/" + strconv.FormatUint(d.GetIncarnation(), 16)
-		c := accountant.Counted{Source: accountant.Source(xxhash.Sum64String(name)), Windows: make(map[int64]accountant.Counts)}
+		c := usagereporter.DaemonCounts{Source: usagereporter.Source(xxhash.Sum64String(name)), Windows: make(map[int64]usagereporter.Counts)}
 		for _, n := range d.GetCounts() {
 			if c.Windows[n.GetWindow()] == nil {
-				c.Windows[n.GetWindow()] = make(accountant.Counts)
+				c.Windows[n.GetWindow()] = make(usagereporter.Counts)
 			}
 			c.Windows[n.GetWindow()][identifier.Organisation(n.GetOrganisation())] += int(n.GetCount())
 		}
@@ -250,18 +250,18 @@
 }
 
 // services describes what can be scaled, as it is now.
-func (u *duties) services() []orderer.Service {
+func (u *duties) services() []autoscaler.Service {
 	c := u.g.versioner.Current()
 	if c == nil {
 		return nil
 	}
 	demands := u.demands()
-	var out []orderer.Service
+	var out []autoscaler.Service
 	for _, s := range c.Services() {
 		if s.Scale == nil {
 			continue
 		}
-		out = append(out, orderer.Service{
+		out = append(out, autoscaler.Service{
 			Service: s.Name, Scale: s.Scale, Demand: demands[s.Name], Capacity: u.capacity(&s),
 			Zones: u.zones(s.Name, s.Scale.Prices),
 		})
@@ -275,7 +275,7 @@
 	if s.Engine != nil {
 		slots = s.Engine.Slots
 	}
-	return sizer.CapacityOf(float64(u.g.estimator.Estimate(s.Name, time.Now()).Speed), slots)
+	return sizer.EngineCapacity(float64(u.g.estimator.Estimate(s.Name, time.Now()).Speed), slots)
 }
 
 // demands sums those of all daemons.
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -43,13 +43,13 @@
 	"brasschute/internal/config/versioner"
 	"brasschute/internal/core/chronometer"
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/core/uptimer"
+	"brasschute/internal/core/bootclock"
 	"brasschute/internal/core/waiter"
 	"brasschute/internal/core/watchdog"
 	"brasschute/internal/engine/sender"
 	"brasschute/internal/fleet/leaser"
-	"brasschute/internal/fleet/tallier"
-	"brasschute/internal/ops/chronicler"
+	"brasschute/internal/fleet/usagecounter"
+	"brasschute/internal/ops/accesslogger"
 	"brasschute/internal/ops/server"
 	"brasschute/internal/peer/aggregator"
 	"brasschute/internal/peer/fetcher"
@@ -165,7 +165,7 @@
 	decoded atomic.Pointer[decodedCatalog]
 
 	clock    *chronometer.Chronometer
-	tallier  *tallier.Tallier
+	tallier  *usagecounter.Counter
 	allotter *quotalimiter.Limiter
 	// deepTold is when a level far below zero was last written down, aloneTold when that
 	// this daemon is cut off.
@@ -240,7 +240,7 @@
 		c.Network = hostNetwork{platform.Dialer()}
 	}
 	if c.Uptime == nil {
-		c.Uptime = uptimer.Now
+		c.Uptime = bootclock.Now
 	}
 	g := &Gateway{c: c, started: time.Now(), unread: rate.NewLimiter(unreadablePerSecond, unreadablePerSecond)}
 	g.reporter = prometheus.NewReporter(prometheus.Options{Registerer: newMetrics()})
@@ -265,10 +265,10 @@
 	d := g.c.Deployment
 	g.tree = suture.New("gateway", suture.Spec{EventHook: g.event})
 	g.store = platform.NewStore(d.Store.String(), g.platformCaller())
-	g.clock = chronometer.New(chronometer.Config{Steady: g.c.Uptime})
+	g.clock = chronometer.New(chronometer.Config{Monotonic: g.c.Uptime})
 	g.roster = roster.New(roster.Config{Host: d.Host, Zone: d.AvailabilityZone, Address: d.Peers.String()})
 	g.aggregator = aggregator.New(aggregator.Config{Host: d.Host, Zone: d.AvailabilityZone, Start: g.started})
-	g.tallier = tallier.New(tallier.Config{Window: d.Bounds.UsageWindow, Keep: d.Bounds.UsageDue, Now: g.clock.Now})
+	g.tallier = usagecounter.New(usagecounter.Config{Window: d.Bounds.UsageWindow, Retention: d.Bounds.UsageDue, Now: g.clock.Now})
 	g.allotter = quotalimiter.New(quotalimiter.Config{
 		Window: d.Bounds.QuotaWindow, Overage: d.Bounds.QuotaOverage, Slack: d.Bounds.QuotaSlack, FleetSize: g.fleetSize,
 		GossipDelay: func() time.Duration { return g.swapper.MaxDigestAge() },
@@ -294,7 +294,7 @@
 	})
 	g.receiver = receiver.New(receiver.Config{
 		Versioner: &g.versioner, Relayer: relay, Quota: g, Quarantine: g.quarantine, Decode: platform.DecodeRequest, Refuse: platform.Codec{}.EncodeRefusal,
-		Observer: chronicler.New(chronicler.Config{Logger: g.c.Logger, Metrics: g.scope}),
+		Observer: accesslogger.New(accesslogger.Config{Logger: g.c.Logger, Metrics: g.scope}),
 	})
 	wait := time.Duration(watchPart * float64(min(d.Bounds.ApplyTime, d.Bounds.DrainTime)))
 	g.tree.Add(g.follow("configuration", platform.CatalogKind, wait))
@@ -318,7 +318,7 @@
 
 // platformCaller makes calls to the platform over connections of its own.
 func (g *Gateway) platformCaller() *watchdog.Watchdog {
-	return watchdog.New(watchdog.Config{Transport: platform.Transport(g.c.Network.DialContext), Silence: storeSilence})
+	return watchdog.New(watchdog.Config{Transport: platform.Transport(g.c.Network.DialContext), IdleTimeout: storeSilence})
 }
 
 // service is a function as a supervised service.
--- a/internal/role/gateway/limits.go
+++ b/internal/role/gateway/limits.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		out = append(out, pacer.Limit{
-			Incarnation: pacer.Incarnation{Endpoint: identifier.Endpoint(l.GetEndpoint()), Born: identifier.Born(l.GetBorn())},
+			Incarnation: pacer.Incarnation{Endpoint: identifier.Endpoint(l.GetEndpoint()), Born: identifier.StartTime(l.GetBorn())},
 			RateLimit: pacer.RateLimit{PerSecond: l.GetPerSecond(), Limited: l.GetLimited()},
 			At:   time.UnixMilli(l.GetUnixMilli()),
 		})
--- a/internal/role/gateway/news.go
+++ b/internal/role/gateway/news.go
@@ -52,7 +52,7 @@
 	throttle := throttler.New(throttler.Config{BytesPerSecond: d.LinkBytesPerSecond})
 	g.supplier = supplier.New(supplier.Config{
 		Address: d.Peers.String(), Objects: &g.mirror, Kinds: []string{platform.CatalogKind, platform.EndpointKind, platform.RolloutKind}, Throttler: throttle,
-		Client: watchdog.New(watchdog.Config{Transport: transport, Silence: peerSilence}), Logger: g.c.Logger,
+		Client: watchdog.New(watchdog.Config{Transport: transport, IdleTimeout: peerSilence}), Logger: g.c.Logger,
 	})
 	g.peerHandler = throttle.Handler(rpc.NewFleetServer(fleetServer{g.swapper, g.supplier}))
 	for _, seed := range d.Seeds {
@@ -110,7 +110,7 @@
 		out.Loads = append(out.Loads, &rpc.EndpointLoad{Endpoint: string(l.Endpoint), Born: int64(l.Born), TokensPerSecond: l.TokensPerSecond, Running: uint32(l.Running), UnreadTokens: l.PendingPrefill})
 	}
 	if g.lease != nil {
-		out.HoldsDuties = g.lease.Sure()
+		out.HoldsDuties = g.lease.Confirmed()
 	}
 	out.Fleet = uint32(g.daemons())
 	out.EndpointsRevision = g.endpointsRevision()
@@ -152,7 +152,7 @@
 	}
 	g.spread(d)
 	g.led(d.GetHoldsDuties())
-	g.clock.Heard(host, time.UnixMilli(d.GetUnixMilli()))
+	g.clock.Observe(host, time.UnixMilli(d.GetUnixMilli()))
 }
 
 // led notes that a peer says it holds the duties.
@@ -168,7 +168,7 @@
 		others := make(map[identifier.Endpoint]candidate.SentLoad)
 		for _, l := range g.loads(time.Now()) {
 			endpoint := identifier.Endpoint(l.GetEndpoint())
-			if _, present := g.registrar.Current(endpoint, identifier.Born(l.GetBorn())); !present {
+			if _, present := g.registrar.Current(endpoint, identifier.StartTime(l.GetBorn())); !present {
 				// It was sent to an earlier life of the endpoint.
 				continue
 			}
@@ -232,7 +232,7 @@
 		}
 	}
 	for _, l := range d.GetDepartures() {
-		life, known := g.registrar.Current(identifier.Endpoint(l.GetEndpoint()), identifier.Born(l.GetBorn()))
+		life, known := g.registrar.Current(identifier.Endpoint(l.GetEndpoint()), identifier.StartTime(l.GetBorn()))
 		mark(l.GetEndpoint(), life, known)
 	}
 	if len(d.GetDepartures()) > 0 {
@@ -250,7 +250,7 @@
 	out := &rpc.Note{Host: string(d.Host), Address: d.Peers.String(), EndpointsRevision: g.endpointsRevision()}
 	out.Leaving, out.Departures = g.leaving()
 	if g.lease != nil {
-		out.HoldsDuties = g.lease.Sure()
+		out.HoldsDuties = g.lease.Confirmed()
 	}
 	out.ConfigurationNumber = g.number()
 	out.Suspects = g.quarantine.RPCSuspects()
--- a/internal/role/gateway/rests.go
+++ b/internal/role/gateway/rests.go
@@ -38,7 +38,7 @@
 	news := false
 	for _, l := range list {
 		news = g.registry.ApplyPeerBackoff(registry.Backoff{
-			Endpoint: identifier.Endpoint(l.GetEndpoint()), Born: identifier.Born(l.GetBorn()),
+			Endpoint: identifier.Endpoint(l.GetEndpoint()), Born: identifier.StartTime(l.GetBorn()),
 			Until: time.Now().Add(time.Duration(l.GetLeftMilli()) * time.Millisecond),
 		}) || news
 	}
--- a/internal/role/gateway/rollouts.go
+++ b/internal/role/gateway/rollouts.go
@@ -214,7 +214,7 @@
 		Service: s.Order.Service, Target: s.Order.Target, Order: s.Order.OrderID(), Phase: told,
 		Fencing: fencing, Sequence: u.beat, IssuedAt: u.g.uptime(), OldEndAt: s.Ends,
 	}, string(u.g.c.Deployment.Host))
-	if s.News {
+	if s.Changed {
 		u.g.scope.Tagged(map[string]string{"service": string(s.Order.Service), "phase": s.Phase.String()}).Counter("rollouts_decided").Inc(1)
 		u.g.c.Logger.Info("roll-out decided", "service", s.Order.Service, "target", s.Order.Target, "order", orderName(s.Order.OrderID()),
 			"phase", s.Phase, "reason", s.Reason, "new", s.Evidence.New, "old", s.Evidence.Old, "fencing", fencing,
@@ -223,7 +223,7 @@
 	if s.Store {
 		u.storeRollout(ctx, s)
 	}
-	return s.News
+	return s.Changed
 }
 
 // storeRollout writes the state of an order, unless another one stands there already.
@@ -257,7 +257,7 @@
 		if o.Phase != rollout.Trying || in.Now.Before(o.LearnedAt.Add(o.Duration)) || in.Now.Sub(u.lacksTold) < lackPause {
 			continue
 		}
-		if lacks := u.promoter.Lacks(o, in); lacks != "" {
+		if lacks := u.promoter.HoldReason(o, in); lacks != "" {
 			u.lacksTold = in.Now
 			u.g.c.Logger.Warn("roll-out behind its deadline", "service", o.Service, "target", o.Target, "order", orderName(o.OrderID()),
 				"late_ms", in.Now.Sub(o.LearnedAt.Add(o.Duration)).Milliseconds(), "lacks", lacks)
--- a/internal/role/gateway/sums.go
+++ b/internal/role/gateway/sums.go
@@ -38,7 +38,7 @@
 // relaying tells whether this daemon relays: by its name, or as it holds the duties, for
 // which it needs to hear all zones.
 func (g *Gateway) relaying() bool {
-	return g.lease != nil && g.lease.Sure() || g.roster.IsRelay(time.Now())
+	return g.lease != nil && g.lease.Confirmed() || g.roster.IsRelay(time.Now())
 }
 
 // part tells how this daemon hears of the others now.
--- a/internal/route/candidate/candidate.go
+++ b/internal/route/candidate/candidate.go
@@ -66,7 +66,7 @@
 	Host        identifier.Host
 	Incarnation identifier.Incarnation
 	// Born tells the life to other daemons.
-	Born    identifier.Born
+	Born    identifier.StartTime
 	Pool    identifier.Pool
 	Class   document.Class
 	Address string
--- a/internal/route/pacer/pacer.go
+++ b/internal/route/pacer/pacer.go
@@ -57,7 +57,7 @@
 // Incarnation is one life of an endpoint.
 type Incarnation struct {
 	Endpoint identifier.Endpoint
-	Born     identifier.Born
+	Born     identifier.StartTime
 }
 
 // RateLimit is what an endpoint says of its limit.
--- a/internal/route/quarantiner/quarantiner.go
+++ b/internal/route/quarantiner/quarantiner.go
@@ -78,7 +78,7 @@
 // Ending is the end of one life of an endpoint while it ran a request.
 type Ending struct {
 	Endpoint identifier.Endpoint
-	Born     identifier.Born
+	Born     identifier.StartTime
 	// Seen is the daemon that saw it, At when by this daemon's clock.
 	Seen identifier.Host
 	At   time.Time
--- a/internal/route/registry/life_test.go
+++ b/internal/route/registry/life_test.go
@@ -93,7 +93,7 @@
 // The homes of prompts follow the life: those of one that has lost its cache are spread
 // anew, in the same way at all daemons, and those of the others stay.
 func TestHomesOfANewLifeArePlacedAnew(t *testing.T) {
-	homes := func(born identifier.Born) (out [200]identifier.Endpoint) {
+	homes := func(born identifier.StartTime) (out [200]identifier.Endpoint) {
 		r := newRegistry(t)
 		listed := make(map[string]*inventory.Host)
 		for _, name := range []string{"a", "b", "c", "d"} {
--- a/internal/route/registry/listing.go
+++ b/internal/route/registry/listing.go
@@ -163,7 +163,7 @@
 // hash is what places homes, the same at all daemons. A new life has lost what the homes
 // of the one before were for: they are spread over the others as if it were new, and do
 // not all wait for their parts to be read at one endpoint.
-func hash(e identifier.Endpoint, born identifier.Born) uint64 {
+func hash(e identifier.Endpoint, born identifier.StartTime) uint64 {
 	if born == 0 {
 		return xxhash.Sum64String(string(e))
 	}
--- a/internal/route/registry/load.go
+++ b/internal/route/registry/load.go
@@ -11,7 +11,7 @@
 type Load struct {
 	Endpoint identifier.Endpoint
 	// Born tells the endpoint's life.
-	Born identifier.Born
+	Born identifier.StartTime
 	candidate.SentLoad
 }
 
--- a/internal/route/registry/rest.go
+++ b/internal/route/registry/rest.go
@@ -25,7 +25,7 @@
 // Backoff is the rest that a life of an endpoint wants.
 type Backoff struct {
 	Endpoint identifier.Endpoint
-	Born     identifier.Born
+	Born     identifier.StartTime
 	Until    time.Time
 }
 
--- a/internal/serve/relayer/attempt.go
+++ b/internal/serve/relayer/attempt.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"brasschute/internal/config/catalog"
-	"brasschute/internal/core/delayer"
+	"brasschute/internal/core/retryparser"
 	"brasschute/internal/engine/sender"
 	"brasschute/internal/route/registry"
 	"brasschute/internal/serve/request"
@@ -76,7 +76,7 @@
 	reply := j.r.c.Codec.DecodeReply(x.Status, x.Header)
 	if !reply.Misdirected {
 		j.r.c.ReplyObserver.ObserveReply(j.q, pick, &reply, begun)
-		if d := delayer.Decode(x.Status, x.Header); d > 0 {
+		if d := retryparser.Parse(x.Status, x.Header); d > 0 {
 			j.r.c.ReplyObserver.ObserveBackoff(j.q, pick, d)
 		}
 	}
