--- a/internal/route/quotalimiter/digest_test.go
+++ b/internal/route/quotalimiter/digest_test.go
@@ -12,56 +12,55 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Half of all requests of an organisation below its quota were refused for 45 s.
-// A daemon woke up and swapped two digests within a millisecond, one request was
-// charged in between, and the daemon was killed. The request divided by the
-// millisecond was taken for its rate, and three seconds of that rate were taken
-// from the bucket for good.
-func TestTwoDigestsWithinAMillisecondMakeNoRate(t *testing.T) {
+// A daemon resumes and exchanges two digests within a millisecond, one request is charged in
+// between, and the daemon is killed. When the request divided by the millisecond was taken for the
+// daemon's rate, three seconds of that rate were taken from the bucket for good, and half of all
+// requests of an organisation below its quota were refused for 45 s.
+func TestDigestsWithinAMillisecondGiveNoRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := desk(400_000)
-		a := newProcess()
+		o := newOrganisation(400_000)
+		l := newDaemon()
 		start := time.Now()
-		hear := func(host string, total float64) {
-			a.Merge(Update{Host: identifier.Host(host), Incarnation: 1, Age: time.Since(start), Accounts: map[identifier.Organisation]Account{
+		receive := func(host string, total float64) {
+			l.Merge(Update{Host: identifier.Host(host), Incarnation: 1, Age: time.Since(start), Accounts: map[identifier.Organisation]Account{
 				o.Name: {Total: total, Asked: 1000},
 			}})
 		}
-		others := func() {
+		receiveOthers := func() {
 			for n := range daemons - 2 {
-				hear(fmt.Sprint(n), 0)
+				receive(fmt.Sprint(n), 0)
 			}
 		}
 		for range 12 {
 			time.Sleep(period)
-			others()
-			hear("killed", 0)
-			a.Admit(o, 1)
+			receiveOthers()
+			receive("killed", 0)
+			l.Admit(o, 1)
 		}
 		time.Sleep(time.Millisecond)
-		hear("killed", 2*tokens)
+		receive("killed", 2*tokens)
 		for range 6 {
 			time.Sleep(period)
-			others()
-			a.Admit(o, 1)
+			receiveOthers()
+			l.Admit(o, 1)
 		}
-		if v := a.Admit(o, tokens); v.RetryAfter > 0 {
-			t.Errorf("refused: %+v", v)
+		if v := l.Admit(o, tokens); v.RetryAfter > 0 {
+			t.Errorf("request refused: %+v", v)
 		}
 	})
 }
 
-// A daemon is paused for seven seconds and then hears what all others gave out
-// meanwhile. Its bucket was full at the end of the pause: were it to pay for the
-// whole pause, its clients would be refused for several seconds more.
+// A daemon is paused for seven seconds and then learns what all its peers admitted meanwhile. Its
+// bucket was full at the end of the pause; if it had to pay for the whole pause, its clients would
+// be refused for several seconds more.
 func TestPausedDaemonDoesNotPayForThePause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := desk(100_000)
-		a := newProcess()
+		o := newOrganisation(100_000)
+		l := newDaemon()
 		start, total := time.Now(), 0.0
-		tell := func() {
+		gossip := func() {
 			for n := range daemons - 1 {
-				a.Merge(Update{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Age: time.Since(start), Accounts: map[identifier.Organisation]Account{
+				l.Merge(Update{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Age: time.Since(start), Accounts: map[identifier.Organisation]Account{
 					o.Name: {Total: total / (daemons - 1), Level: o.Burst, Asked: 60_000 / (daemons - 1)},
 				}})
 			}
@@ -69,34 +68,34 @@
 		for range 20 {
 			time.Sleep(period)
 			total += 60_000
-			tell()
-			a.Admit(o, 1)
+			gossip()
+			l.Admit(o, 1)
 		}
 		const paused = 7 * time.Second
 		time.Sleep(paused)
 		total += 60_000 * paused.Seconds()
-		tell()
-		if v := a.Admit(o, tokens); v.RetryAfter > 0 {
-			t.Errorf("refused after the pause: %+v", v)
+		gossip()
+		if v := l.Admit(o, tokens); v.RetryAfter > 0 {
+			t.Errorf("request refused after the pause: %+v", v)
 		}
 	})
 }
 
-// A daemon that has run for two seconds is paused for seven more, and refused nearly
-// all requests of two organisations for eight seconds after it woke: too young to take
-// itself for the one that had been away, it charged what it had set aside for the
-// others meanwhile, and what they had given out besides.
+// A daemon that has run for two seconds is paused for seven more. Too young to recognise that it
+// was the one that was away, it charged what it had reserved for its peers meanwhile and also what
+// they had admitted, and refused nearly all requests of two organisations for eight seconds after
+// it resumed.
 func TestYoungDaemonDoesNotPayForAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := desk(400_000)
+		o := newOrganisation(400_000)
 		const used = 0.6 * 400_000
-		a := newProcess()
+		l := newDaemon()
 		start, total := time.Now(), 0.0
 		const left = 1_900_000
-		tell := func() {
+		gossip := func() {
 			for n := range daemons - 1 {
 				time.Sleep(100 * time.Microsecond)
-				a.Merge(Update{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Age: time.Minute + time.Since(start), Accounts: map[identifier.Organisation]Account{
+				l.Merge(Update{Host: identifier.Host(fmt.Sprint(n)), Incarnation: 1, Age: time.Minute + time.Since(start), Accounts: map[identifier.Organisation]Account{
 					o.Name: {Total: total / (daemons - 1), Level: left, Asked: used / (daemons - 1)},
 				}})
 			}
@@ -104,207 +103,208 @@
 		for range 2 {
 			time.Sleep(period)
 			total += used
-			tell()
-			a.Admit(o, 1)
+			gossip()
+			l.Admit(o, 1)
 		}
 		const paused = 7 * time.Second
 		time.Sleep(paused)
 		total += used * paused.Seconds()
-		tell()
-		if v := a.Admit(o, tokens); v.Level < left-o.RatePerSecond {
-			t.Errorf("level %.0f after the pause, the others have %d", v.Level, left)
+		gossip()
+		if v := l.Admit(o, tokens); v.Level < left-o.RatePerSecond {
+			t.Errorf("level %.0f after the pause, peers have %d", v.Level, left)
 		}
-		// What it took over leaves the window as evenly as it came. Held to be charged
-		// at the very end of the pause, it weighed for eight seconds more while the
-		// others' had gone.
+		// The adopted charges leave the window as evenly as they were made. When they were counted
+		// as charged at the very end of the pause, they stayed for eight seconds more, while those
+		// of the peers had left.
 		for second := range 8 {
 			time.Sleep(period)
 			total += used
-			tell()
-			if v := a.Admit(o, 1); v.Level < left-1.5*o.RatePerSecond {
-				t.Errorf("level %.0f %d s after the pause, the others have %d", v.Level, second+1, left)
+			gossip()
+			if v := l.Admit(o, 1); v.Level < left-1.5*o.RatePerSecond {
+				t.Errorf("level %.0f %d s after the pause, peers have %d", v.Level, second+1, left)
 			}
 		}
 	})
 }
 
-// A level tells of a fault when it is deep below zero. Whatever was charged, it is
-// paid back within the window over which the quota holds.
+// A level deep below zero indicates a fault. Whatever was charged, it is paid back within the
+// window that the quota applies to.
 func TestLevelIsPaidBackWithinTheWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		o := desk(100_000)
-		a := New(Config{Window: window, Overage: overage, Slack: slack})
-		a.Admit(o, 1)
-		a.Merge(Update{Host: "other", Incarnation: 1, Accounts: map[identifier.Organisation]Account{o.Name: {}}})
+		o := newOrganisation(100_000)
+		l := New(Config{Window: window, Overage: overage, Slack: slack})
+		l.Admit(o, 1)
+		l.Merge(Update{Host: "other", Incarnation: 1, Accounts: map[identifier.Organisation]Account{o.Name: {}}})
 		time.Sleep(period)
-		a.Merge(Update{Host: "other", Incarnation: 1, Age: period, Accounts: map[identifier.Organisation]Account{o.Name: {Total: 150e6}}})
-		if v := a.Admit(o, tokens); v.RetryAfter == 0 || v.Level > -o.RatePerSecond {
-			t.Errorf("%+v after 150 million tokens", v)
+		l.Merge(Update{Host: "other", Incarnation: 1, Age: period, Accounts: map[identifier.Organisation]Account{o.Name: {Total: 150e6}}})
+		if v := l.Admit(o, tokens); v.RetryAfter == 0 || v.Level > -o.RatePerSecond {
+			t.Errorf("got %+v after a charge of 150 million tokens, want a refusal", v)
 		}
 		for range int(window/period) + 1 {
 			time.Sleep(period)
-			a.Merge(Update{Host: "other", Incarnation: 1, Age: time.Since(a.start), Accounts: map[identifier.Organisation]Account{o.Name: {Total: 150e6}}})
+			l.Merge(Update{Host: "other", Incarnation: 1, Age: time.Since(l.start), Accounts: map[identifier.Organisation]Account{o.Name: {Total: 150e6}}})
 		}
-		if v := a.Admit(o, 1); v.RetryAfter > 0 {
-			t.Errorf("%+v after the window", v)
+		if v := l.Admit(o, 1); v.RetryAfter > 0 {
+			t.Errorf("got %+v after the window, want admission", v)
 		}
 	})
 }
 
-// mail is news on its way between two daemons.
-type mail struct {
-	to   int
-	due  time.Time
-	news Update
+// delivery is an update in flight to a daemon.
+type delivery struct {
+	to     int
+	due    time.Time
+	update Update
 }
 
-// unruly is a fleet whose news is delayed, overtaken and bunched, and whose daemons
-// are killed and paused.
-type unruly struct {
+// faultyFleet is a fleet whose updates are delayed, reordered and bunched, and whose daemons are
+// killed and paused.
+type faultyFleet struct {
 	fleet
-	t       *rapid.T
-	lives   [daemons]uint64
-	born    [daemons]time.Time
-	away    [daemons]time.Time
-	waiting []mail
-	// refused is since when every request was refused; longest the longest such time.
-	refused time.Time
-	longest time.Duration
+	t            *rapid.T
+	incarnations [daemons]uint64
+	startedAt    [daemons]time.Time
+	downUntil    [daemons]time.Time
+	inFlight     []delivery
+	// refusedSince is the time since which every request was refused, longest the longest such
+	// period.
+	refusedSince time.Time
+	longest      time.Duration
 }
 
-func (u *unruly) restart(i int) {
-	u.daemons[i] = newProcess()
-	u.lives[i]++
-	u.born[i] = time.Now()
+func (f *faultyFleet) restart(i int) {
+	f.daemons[i] = newDaemon()
+	f.incarnations[i]++
+	f.startedAt[i] = time.Now()
 }
 
-// post sends the news of all daemons that run, each on a way of its own.
-func (u *unruly) post() {
+// post sends the updates of all running daemons, each with its own delay.
+func (f *faultyFleet) post() {
 	now := time.Now()
-	for from, d := range u.daemons {
-		if now.Before(u.away[from]) {
+	for from, d := range f.daemons {
+		if now.Before(f.downUntil[from]) {
 			continue
 		}
-		n := Update{Host: identifier.Host(fmt.Sprint(from)), Incarnation: u.lives[from], Age: now.Sub(u.born[from]), Accounts: d.Accounts()}
-		delay := time.Duration(rapid.IntRange(1, 900).Draw(u.t, "delay")) * time.Millisecond
-		for to := range u.daemons {
+		u := Update{Host: identifier.Host(fmt.Sprint(from)), Incarnation: f.incarnations[from], Age: now.Sub(f.startedAt[from]), Accounts: d.Accounts()}
+		delay := time.Duration(rapid.IntRange(1, 900).Draw(f.t, "delay")) * time.Millisecond
+		for to := range f.daemons {
 			if to != from {
-				u.waiting = append(u.waiting, mail{to, now.Add(delay), n})
+				f.inFlight = append(f.inFlight, delivery{to, now.Add(delay), u})
 			}
 		}
 	}
 }
 
-// deliver hands over what is due to daemons that run; paused ones get all in a
-// bunch when they wake.
-func (u *unruly) deliver() {
+// deliver hands over updates that are due to running daemons; a paused daemon gets all of them in a
+// bunch when it resumes.
+func (f *faultyFleet) deliver() {
 	now := time.Now()
-	left := u.waiting[:0]
-	for _, m := range u.waiting {
-		if now.Before(m.due) || now.Before(u.away[m.to]) {
-			left = append(left, m)
+	pending := f.inFlight[:0]
+	for _, m := range f.inFlight {
+		if now.Before(m.due) || now.Before(f.downUntil[m.to]) {
+			pending = append(pending, m)
 			continue
 		}
-		u.daemons[m.to].Merge(m.news)
-		// A bunch comes one by one, a fraction of a millisecond apart.
+		f.daemons[m.to].Merge(m.update)
+		// A bunch arrives one by one, a fraction of a millisecond apart.
 		time.Sleep(100 * time.Microsecond)
 	}
-	u.waiting = left
+	f.inFlight = pending
 }
 
-// disturb kills or pauses one daemon.
-func (u *unruly) disturb() {
-	i := rapid.IntRange(0, daemons-1).Draw(u.t, "daemon")
-	if time.Now().Before(u.away[i]) {
+// injectFault kills or pauses one daemon.
+func (f *faultyFleet) injectFault() {
+	i := rapid.IntRange(0, daemons-1).Draw(f.t, "daemon")
+	if time.Now().Before(f.downUntil[i]) {
 		return
 	}
-	u.away[i] = time.Now().Add(time.Duration(rapid.IntRange(300, 6000).Draw(u.t, "away")) * time.Millisecond)
-	if rapid.Bool().Draw(u.t, "killed") {
-		u.restart(i)
-		u.born[i] = u.away[i]
+	f.downUntil[i] = time.Now().Add(time.Duration(rapid.IntRange(300, 6000).Draw(f.t, "away")) * time.Millisecond)
+	if rapid.Bool().Draw(f.t, "killed") {
+		f.restart(i)
+		f.startedAt[i] = f.downUntil[i]
 	}
 }
 
-// send makes clients ask for so many tokens a second for a time.
-func (u *unruly) send(o *catalog.Organisation, perSecond float64, d time.Duration) {
+// send makes clients ask for perSecond tokens a second for a duration.
+func (f *faultyFleet) send(o *catalog.Organisation, perSecond float64, d time.Duration) {
 	const step = 20 * time.Millisecond
-	due, told := 0.0, time.Now()
-	disturbed := time.Now()
+	due, exchangedAt := 0.0, time.Now()
+	faultAt := time.Now()
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(step) {
-		if time.Since(told) >= period {
-			told = time.Now()
-			u.post()
+		if time.Since(exchangedAt) >= period {
+			exchangedAt = time.Now()
+			f.post()
 		}
-		if time.Since(disturbed) >= 3*period {
-			disturbed = time.Now()
-			u.disturb()
+		if time.Since(faultAt) >= 3*period {
+			faultAt = time.Now()
+			f.injectFault()
 		}
-		u.deliver()
+		f.deliver()
 		for due += perSecond * step.Seconds(); due >= tokens; due -= tokens {
-			u.ask(o)
+			f.request(o)
 		}
 	}
 }
 
-func (u *unruly) ask(o *catalog.Organisation) {
+func (f *faultyFleet) request(o *catalog.Organisation) {
 	now := time.Now()
-	i := rapid.IntRange(0, daemons-1).Draw(u.t, "client")
-	if now.Before(u.away[i]) {
+	i := rapid.IntRange(0, daemons-1).Draw(f.t, "client")
+	if now.Before(f.downUntil[i]) {
 		return
 	}
 	switch {
-	case u.admit(i, o, tokens):
-		u.refused = time.Time{}
-	case u.refused.IsZero():
-		u.refused = now
+	case f.admit(i, o, tokens):
+		f.refusedSince = time.Time{}
+	case f.refusedSince.IsZero():
+		f.refusedSince = now
 	default:
-		u.longest = max(u.longest, now.Sub(u.refused))
+		f.longest = max(f.longest, now.Sub(f.refusedSince))
 	}
 }
 
-// Whatever is delayed, overtaken, bunched, killed or paused: the quota holds in
-// each window, and an organisation that asks for less than its quota is never
-// refused altogether for longer than mostRefused.
-func TestQuotaUnderUnrulyNews(t *testing.T) {
-	const mostRefused = 2 * time.Second
+// Under delayed, reordered and bunched updates and killed and paused daemons, the quota holds in
+// every window, and an organisation that asks for less than its quota never has all its requests
+// refused for longer than maxRefused.
+func TestQuotaUnderUnreliableGossip(t *testing.T) {
+	const maxRefused = 2 * time.Second
 	rapid.Check(t, func(rt *rapid.T) {
 		synctest.Test(t, func(t *testing.T) {
-			o := desk(300_000)
-			u := &unruly{t: rt}
+			o := newOrganisation(300_000)
+			f := &faultyFleet{t: rt}
 			for i := range daemons {
-				u.daemons = append(u.daemons, nil)
-				u.restart(i)
+				f.daemons = append(f.daemons, nil)
+				f.restart(i)
 			}
-			part := rapid.SampledFrom([]float64{0.5, 0.8, 3}).Draw(rt, "part")
-			u.send(o, 0.4*o.RatePerSecond, 8*time.Second)
-			u.longest = 0
-			u.send(o, part*o.RatePerSecond, 14*time.Second)
+			demand := rapid.SampledFrom([]float64{0.5, 0.8, 3}).Draw(rt, "part")
+			f.send(o, 0.4*o.RatePerSecond, 8*time.Second)
+			f.longest = 0
+			f.send(o, demand*o.RatePerSecond, 14*time.Second)
 			limit := limitOf(o)
-			if got := u.most(); got > limit {
-				rt.Fatalf("%.0f tokens in a window, limit %.0f, asked %.1f of the quota", got, limit, part)
+			if got := f.maxInWindow(); got > limit {
+				rt.Fatalf("%.0f tokens in one window, limit %.0f, demand %.1f of the quota", got, limit, demand)
 			}
-			if part < 1 && u.longest > mostRefused {
-				rt.Fatalf("all refused for %s at %.1f of the quota", u.longest, part)
+			if demand < 1 && f.longest > maxRefused {
+				rt.Fatalf("all requests refused for %s at %.1f of the quota", f.longest, demand)
 			}
 		})
 	})
 }
 
-// A fleet shrinks to one daemon for good. It is cut off until the others are forgotten, and
-// then has the whole quota: it must not go on saying that it hears nobody.
-func TestLastDaemonIsNotCutOff(t *testing.T) {
+// A fleet shrinks to one daemon for good. The daemon is isolated until its peers are forgotten, and
+// then has the whole quota: it must no longer report that it is isolated.
+func TestLastDaemonIsNotIsolated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet()
-		o := desk(100_000)
-		f.tell(connected)
-		time.Sleep(memory / 2)
+		o := newOrganisation(100_000)
+		f.exchange(noPartition)
+		time.Sleep(peerTTL / 2)
 		if f.daemons[0].Admit(o, 1).IsolatedFor == 0 {
-			t.Error("not cut off a quarter of a minute after the last news")
+			t.Error("not isolated 15 s after the last update")
 		}
-		time.Sleep(memory)
+		time.Sleep(peerTTL)
 		f.daemons[0].Admit(o, 1)
 		if v := f.daemons[0].Admit(o, 1); v.IsolatedFor > 0 {
-			t.Errorf("cut off for %v though no other daemon is left", v.IsolatedFor)
+			t.Errorf("isolated for %v although no other daemon is left", v.IsolatedFor)
 		}
 	})
 }
--- a/internal/route/quotalimiter/news.go
+++ b/internal/route/quotalimiter/news.go
@@ -6,371 +6,371 @@
 	"brasschute/internal/core/identifier"
 )
 
-// sameAge is the difference in age within which two daemons count as started
-// together: the processes of a fleet start within a second.
-const sameAge = 2 * time.Second
+// simultaneousStart is the difference in age within which two daemons count as started together:
+// the processes of a fleet start within a second.
+const simultaneousStart = 2 * time.Second
 
-// suspension is how far this host's clock must fall behind another's between two
-// news for it to have been suspended: its clock stands still meanwhile. Delays of
-// news are below the period of the digests.
-const suspension = 1500 * time.Millisecond
+// suspensionThreshold is how far this host's clock must fall behind a peer's between two updates
+// for the host to have been suspended, as its clock stands still meanwhile. The delay of updates is
+// below the gossip period.
+const suspensionThreshold = 1500 * time.Millisecond
 
-// leastSpan is the least time over which another daemon's rate is measured. Daemons
-// that wake up, or have just started, swap two digests within a millisecond: over
-// that span a single request made a rate thousands of times the true one, and a
-// bucket stood at -150 million tokens, refusing every second request for 45 s.
-const leastSpan = 400 * time.Millisecond
+// minRateSpan is the shortest time over which a peer's rate is measured. Daemons that resume, or
+// have just started, exchange two digests within a millisecond. Over that span a single request
+// gave a rate thousands of times the true one: a bucket stood at -150 million tokens and refused
+// every second request for 45 s.
+const minRateSpan = 400 * time.Millisecond
 
-// minority is the part of the fleet that a daemon does not hear from which on it
-// takes itself, and not the others, to have been cut off.
-const minority = 0.5
+// minorityFraction is the fraction of the fleet that a daemon must not hear from to conclude that
+// it is itself partitioned, and not the others.
+const minorityFraction = 0.5
 
-// Account is what one daemon tells of an organisation.
+// Account is what one daemon reports of its charges to an organisation, in the unit of charges.
 type Account struct {
-	// Total is all that it charged since its start.
+	// Total is all that the daemon has charged since its start.
 	Total float64
-	// Level is its estimate of the fleet's bucket, less what it takes the others
-	// to have charged unheard; NoLevel: it has none.
+	// Level is its estimate of the level of the fleet's bucket, less what it estimates that peers
+	// have charged but not reported. NoLevel: it has no estimate.
 	Level   float64
 	NoLevel bool
-	// Asked is what its clients ask for in a second, refused or not.
+	// Asked is the demand of its clients per second, including refused requests.
 	Asked float64
 }
 
-// Update is what another daemon tells, or what several daemons together do.
+// Update is what another daemon, or a group of daemons, reports by gossip.
 type Update struct {
-	// Host is the daemon's, or names the group.
+	// Host is the daemon's host, or the name of the group.
 	Host        identifier.Host
 	Incarnation uint64
-	// Age is the time since the daemon's start; of a group, that of who tells.
+	// Age is the time since the daemon started; for a group, since the daemon that reports for it
+	// started.
 	Age time.Duration
-	// Daemons is the number of daemons that this is of, 0 for one; Silent of them are not
-	// heard by those that tell.
+	// Daemons is the number of daemons that the update covers, 0 meaning one. Silent of them are
+	// not heard by the daemons that report.
 	Daemons, Silent int
 	Accounts        map[identifier.Organisation]Account
 }
 
-type remoteKey struct {
+type peerKey struct {
 	host        identifier.Host
 	incarnation uint64
 }
 
-// remote is what another daemon charged, or a group of them.
-type remote struct {
-	// daemons is their number, silent that of those among them that are not heard.
+// peer is what is known of another daemon, or of a group of daemons.
+type peer struct {
+	// daemons is the number of daemons, silent how many of them are not heard by the daemons that
+	// report.
 	daemons, silent int
-	born            time.Time
-	heard           time.Time
+	startedAt       time.Time
+	heardAt         time.Time
 	age             time.Duration
-	byOrg           map[identifier.Organisation]*count
+	byOrg           map[identifier.Organisation]*peerUsage
 }
 
-// count is one organisation's: rate is what it charges in a second, asked what
-// its clients ask for, level what it told of the bucket.
-type count struct {
-	total, rate, asked, level float64
-	noLevel                   bool
-	// rated: the rate is measured, over leastSpan at least: from spanTotal, which had
-	// been charged at spanFrom.
-	rated     bool
+// peerUsage is a peer's usage of one organisation's quota: rate is what it charges per second,
+// demand what its clients ask for per second, level the bucket level it reported.
+type peerUsage struct {
+	total, rate, demand, level float64
+	noLevel                    bool
+	// rateKnown: the rate has been measured over at least minRateSpan. spanTotal is what had been
+	// charged at spanStart, where the present measurement began.
+	rateKnown bool
 	spanTotal float64
-	spanFrom  time.Time
-	// overdue is what it was charged when it fell silent.
-	overdue float64
+	spanStart time.Time
+	// presumed is what it was assumed to have charged unreported when it fell silent.
+	presumed float64
 }
 
-func (r *remote) count(o identifier.Organisation) *count {
-	n := r.byOrg[o]
-	if n == nil {
-		n = new(count)
-		r.byOrg[o] = n
+func (p *peer) usageOf(o identifier.Organisation) *peerUsage {
+	u := p.byOrg[o]
+	if u == nil {
+		u = new(peerUsage)
+		p.byOrg[o] = u
 	}
-	return n
+	return u
 }
 
-// Accounts returns what is to be told to the others.
-func (a *Limiter) Accounts() map[identifier.Organisation]Account {
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	out := make(map[identifier.Organisation]Account, len(a.buckets))
+// Accounts returns the accounts to report to peers.
+func (l *Limiter) Accounts() map[identifier.Organisation]Account {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	out := make(map[identifier.Organisation]Account, len(l.buckets))
 	now := time.Now()
-	for name, b := range a.buckets {
-		unseen, _ := a.refresh(b, name, now)
-		out[name] = Account{Total: b.own, Level: b.level() - unseen, Asked: b.asked}
+	for name, b := range l.buckets {
+		unreported, _ := l.refresh(b, name, now)
+		out[name] = Account{Total: b.charged, Level: b.level() - unreported, Asked: b.localDemand}
 	}
 	return out
 }
 
-// Merge takes in another daemon's accounts. What it charged since it was heard
-// last is taken from the bucket now.
-func (a *Limiter) Merge(n Update) {
+// Merge takes in the accounts of another daemon or group. What it has charged since its last update
+// is taken from the buckets now. Updates that arrive out of order are ignored.
+func (l *Limiter) Merge(u Update) {
 	now := time.Now()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	k := remoteKey{n.Host, n.Incarnation}
-	r := a.others[k]
-	if r == nil {
-		r = &remote{born: now.Add(-n.Age), byOrg: make(map[identifier.Organisation]*count)}
-		if !a.succeed(n.Host, r.born, now) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	k := peerKey{u.Host, u.Incarnation}
+	p := l.peers[k]
+	if p == nil {
+		p = &peer{startedAt: now.Add(-u.Age), byOrg: make(map[identifier.Organisation]*peerUsage)}
+		if !l.replacePeer(u.Host, p.startedAt, now) {
 			return
 		}
-		a.others[k] = r
-	} else if n.Age < r.age {
-		// Overtaken by newer news: its totals are counted already.
+		l.peers[k] = p
+	} else if u.Age < p.age {
+		// Overtaken by a newer update, which already includes these totals.
 		return
 	}
-	since := now.Sub(r.heard)
-	knows := a.knowsMore(r, n.Age, since, now)
-	r.heard, r.age = now, n.Age
-	r.daemons = max(n.Daemons, 1)
-	r.silent = min(max(n.Silent, 0), r.daemons)
-	a.regrouped(now)
-	a.hear(now)
-	for name, told := range n.Accounts {
-		c := r.count(name)
-		a.account(c, name, told, since, knows, r.daemons)
-		if knows {
-			// By this daemon's clock, which may have stood still, no rate can be told.
-			c.spanTotal, c.spanFrom = told.Total, now
+	since := now.Sub(p.heardAt)
+	ahead := l.peerAhead(p, u.Age, since, now)
+	p.heardAt, p.age = now, u.Age
+	p.daemons = max(u.Daemons, 1)
+	p.silent = min(max(u.Silent, 0), p.daemons)
+	l.dropFormer(now)
+	l.observeUpdate(now)
+	for name, account := range u.Accounts {
+		usage := p.usageOf(name)
+		l.applyUpdate(usage, name, account, since, ahead, p.daemons)
+		if ahead {
+			// This daemon's clock may have stood still, so no rate can be computed from it.
+			usage.spanTotal, usage.spanStart = account.Total, now
 		}
-		c.measure(told, now)
-		c.take(told)
+		usage.measureRate(account, now)
+		usage.store(account)
 	}
 }
 
-// knowsMore tells whether a daemon that is heard after a time has followed the
-// fleet while this one has not: before this one started, or while this one was cut
-// off from most of the others or suspended. To charge all that such a daemon
-// charged meanwhile to a bucket that was not refilled meanwhile would refuse
-// requests for as long again.
-func (a *Limiter) knowsMore(r *remote, age, since time.Duration, now time.Time) bool {
+// peerAhead reports whether a peer has followed the fleet while this daemon has not: before this
+// daemon started, or while it was partitioned from most of its peers or suspended. Taking all that
+// such a peer charged meanwhile from a bucket that was not refilled meanwhile would refuse requests
+// for as long again.
+func (l *Limiter) peerAhead(p *peer, age, since time.Duration, now time.Time) bool {
 	switch {
-	case r.heard.IsZero():
-		return r.born.Before(a.start.Add(-sameAge))
-	case since >= a.silence():
-		if a.alone(now) {
-			a.isolated = now
+	case p.heardAt.IsZero():
+		return p.startedAt.Before(l.start.Add(-simultaneousStart))
+	case since >= l.silenceTimeout():
+		if l.heardMinority(now) {
+			l.isolatedAt = now
 		}
-		return now.Sub(a.isolated) < joining
+		return now.Sub(l.isolatedAt) < joinTime
 	}
-	return age-r.age-since > suspension
+	return age-p.age-since > suspensionThreshold
 }
 
-// alone tells whether this daemon has heard at most half of the others lately, as it
-// has not after a pause of its own, however young it is.
-func (a *Limiter) alone(now time.Time) bool {
-	silence, lately, all := a.silence(), 0, 0
-	for _, r := range a.others {
-		all += r.daemons
-		if now.Sub(r.heard) < silence {
-			lately += r.daemons
+// heardMinority reports whether this daemon has recently heard from at most half of its peers, as
+// is the case after it was paused itself, however young it is.
+func (l *Limiter) heardMinority(now time.Time) bool {
+	timeout, recent, all := l.silenceTimeout(), 0, 0
+	for _, p := range l.peers {
+		all += p.daemons
+		if now.Sub(p.heardAt) < timeout {
+			recent += p.daemons
 		}
 	}
-	return float64(lately) <= minority*float64(all)
+	return float64(recent) <= minorityFraction*float64(all)
 }
 
-// account brings the bucket up to what some daemons tell after a time since they were
-// heard last; knows: they have followed the fleet while this daemon has not.
-func (a *Limiter) account(n *count, name identifier.Organisation, told Account, since time.Duration, knows bool, daemons int) {
-	b := a.buckets[name]
+// applyUpdate updates the bucket with the account of a peer that was last heard since ago. ahead:
+// the peer has followed the fleet while this daemon has not.
+func (l *Limiter) applyUpdate(usage *peerUsage, name identifier.Organisation, account Account, since time.Duration, ahead bool, daemons int) {
+	b := l.buckets[name]
 	if b == nil {
 		return
 	}
 	now := time.Now()
-	unseen, _ := a.refresh(b, name, now)
-	charged := max(told.Total-n.total, 0)
-	switch silence := a.silence(); {
-	case knows && told.NoLevel:
-		// What it charged can't be told from what this daemon has missed.
-	case knows:
-		b.adopt(told.Level, unseen, a.isolated, now)
-	case since >= silence && n.rated:
-		// Beyond its equal part, which was set aside: to take over its level
-		// instead put all daemons at the lowest estimate of sixty after a cut.
-		part := b.rate * a.equal() * float64(daemons)
-		covered := n.overdue + part*(since-silence).Seconds()
-		b.take(max(charged-covered, -n.overdue))
+	unreported, _ := l.refresh(b, name, now)
+	charged := max(account.Total-usage.total, 0)
+	switch timeout := l.silenceTimeout(); {
+	case ahead && account.NoLevel:
+		// What it charged cannot be told apart from what this daemon has missed.
+	case ahead:
+		b.adoptLevel(account.Level, unreported, l.isolatedAt, now)
+	case since >= timeout && usage.rateKnown:
+		// Charge only what exceeds its equal share, which was reserved. Adopting its level instead
+		// put all daemons at the lowest of sixty estimates after a partition.
+		share := b.rate * l.equalShare() * float64(daemons)
+		covered := usage.presumed + share*(since-timeout).Seconds()
+		b.take(max(charged-covered, -usage.presumed))
 	default:
 		b.take(charged)
 	}
 }
 
-// measure takes in the rate of what was charged since the last measurement, if that
-// was leastSpan ago.
-func (n *count) measure(told Account, now time.Time) {
-	if n.spanFrom.IsZero() {
-		n.spanTotal, n.spanFrom = told.Total, now
+// measureRate updates the rate with what was charged since the last measurement, if that is at
+// least minRateSpan ago.
+func (u *peerUsage) measureRate(account Account, now time.Time) {
+	if u.spanStart.IsZero() {
+		u.spanTotal, u.spanStart = account.Total, now
 		return
 	}
-	span := now.Sub(n.spanFrom)
-	if span < leastSpan {
+	span := now.Sub(u.spanStart)
+	if span < minRateSpan {
 		return
 	}
 	weight := rateWeight
-	if !n.rated {
-		weight, n.rated = 1, true
+	if !u.rateKnown {
+		weight, u.rateKnown = 1, true
 	}
-	n.rate += weight * (max(told.Total-n.spanTotal, 0)/span.Seconds() - n.rate)
-	n.spanTotal, n.spanFrom = max(told.Total, n.spanTotal), now
+	u.rate += weight * (max(account.Total-u.spanTotal, 0)/span.Seconds() - u.rate)
+	u.spanTotal, u.spanStart = max(account.Total, u.spanTotal), now
 }
 
-func (n *count) take(told Account) {
-	n.total = max(n.total, told.Total)
-	n.asked, n.level, n.noLevel, n.overdue = told.Asked, told.Level, told.NoLevel, 0
+func (u *peerUsage) store(account Account) {
+	u.total = max(u.total, account.Total)
+	u.demand, u.level, u.noLevel, u.presumed = account.Asked, account.Level, account.NoLevel, 0
 }
 
-// succeed ends the earlier processes of a host, of which a new one is heard: what
-// they are taken to have charged unheard ends with the start of the new one. It
-// reports false for news of a process that has been succeeded itself.
-func (a *Limiter) succeed(host identifier.Host, born, now time.Time) bool {
-	for k, r := range a.others {
+// replacePeer removes the earlier processes of a host from which a new process is heard: charges
+// presumed for them end when the new process started. It returns false if the update comes from a
+// process that has itself been replaced.
+func (l *Limiter) replacePeer(host identifier.Host, startedAt, now time.Time) bool {
+	for k, p := range l.peers {
 		if k.host != host {
 			continue
 		}
-		if born.Before(r.born) {
+		if startedAt.Before(p.startedAt) {
 			return false
 		}
-		unheard := min(born.Sub(r.heard), a.silence())
-		for name, n := range r.byOrg {
-			if b := a.buckets[name]; b != nil && unheard > 0 {
-				a.refresh(b, name, now)
-				b.take(n.rate * unheard.Seconds())
+		unreported := min(startedAt.Sub(p.heardAt), l.silenceTimeout())
+		for name, usage := range p.byOrg {
+			if b := l.buckets[name]; b != nil && unreported > 0 {
+				l.refresh(b, name, now)
+				b.take(usage.rate * unreported.Seconds())
 			}
 		}
-		delete(a.others, k)
+		delete(l.peers, k)
 	}
 	return true
 }
 
-// adopt takes over the level that a daemon with a longer memory tells: the mean of
-// all such. The lowest of sixty estimates lies a second's worth of a quota below
-// what is left.
-func (b *bucket) adopt(level, unseen float64, isolated, now time.Time) {
-	if now.Sub(b.adoptedAt) > joining || isolated.After(b.adoptedAt) {
+// adoptLevel adopts the level reported by a peer that has followed the fleet for longer, as the
+// mean of all such levels. The lowest of sixty estimates is below the true level by a second's
+// worth of the quota.
+func (b *bucket) adoptLevel(level, unreported float64, isolatedAt, now time.Time) {
+	if now.Sub(b.adoptedAt) > joinTime || isolatedAt.After(b.adoptedAt) {
 		b.adopted = 0
 	}
 	b.adopted++
 	b.adoptedAt = now
-	wanted := b.level() + (level+unseen-b.level())/float64(b.adopted)
-	b.held = wanted
+	target := b.level() + (level+unreported-b.level())/float64(b.adopted)
+	b.tokens = target
 	if b.adopted == 1 {
-		// When it was charged is not known: held to be charged now, it would weigh for
-		// a whole window while the others' leaves theirs second by second.
-		b.recent.spread(b.used(wanted), now)
+		// The times of the charges are not known. Charged now, they would count for a whole window,
+		// while those of the peers leave their windows second by second.
+		b.recent.spread(b.minCharged(target), now)
 		return
 	}
-	b.recent.correct(b.used(wanted), now)
+	b.recent.rescale(b.minCharged(target), now)
 }
 
-// adoptTold takes over the levels that were told before the bucket was needed.
-func (a *Limiter) adoptTold(b *bucket, o identifier.Organisation, now time.Time) {
-	unseen, _ := a.unseen(o, now)
-	for _, r := range a.others {
-		if n := r.byOrg[o]; n != nil && !n.noLevel && now.Sub(r.heard) < a.silence() {
+// adoptPeerLevels adopts the levels that were reported before the bucket was created.
+func (l *Limiter) adoptPeerLevels(b *bucket, o identifier.Organisation, now time.Time) {
+	unreported, _ := l.unreported(o, now)
+	for _, p := range l.peers {
+		if usage := p.byOrg[o]; usage != nil && !usage.noLevel && now.Sub(p.heardAt) < l.silenceTimeout() {
 			b.at = now
-			b.recent.pass(now)
-			b.adopt(n.level, unseen, a.isolated, now)
+			b.recent.advance(now)
+			b.adoptLevel(usage.level, unreported, l.isolatedAt, now)
 		}
 	}
 }
 
-// unseen estimates what the other daemons charged since they were heard, and sums
-// what their clients ask for. What daemons that have fallen silent are taken to
-// have charged, until their parts are set aside, is taken from the bucket for good:
-// were it forgotten, a cut would give out three seconds' worth of the quota again.
-func (a *Limiter) unseen(o identifier.Organisation, now time.Time) (charged, asked float64) {
-	silence := a.silence()
-	for _, r := range a.others {
-		n := r.byOrg[o]
-		if n == nil {
+// unreported estimates what peers have charged since their last updates, and sums the demand of
+// their clients. The presumed charges of peers that have fallen silent, up to when their shares are
+// reserved, are taken from the bucket for good: otherwise a partition would admit three seconds'
+// worth of the quota again.
+func (l *Limiter) unreported(o identifier.Organisation, now time.Time) (charged, demand float64) {
+	timeout := l.silenceTimeout()
+	for _, p := range l.peers {
+		usage := p.byOrg[o]
+		if usage == nil {
 			continue
 		}
-		asked += n.asked
-		since := now.Sub(r.heard)
+		demand += usage.demand
+		since := now.Sub(p.heardAt)
 		switch {
-		case since < silence && n.rated:
-			charged += n.rate * since.Seconds()
-		case since < silence:
-			// Heard once: it gives out its share of what its clients ask for.
-			charged += a.given(o, n.asked) * since.Seconds()
-		case n.rate > 0 && a.buckets[o] != nil:
-			n.overdue = n.rate * silence.Seconds()
-			n.rate = 0
-			a.buckets[o].take(n.overdue)
+		case since < timeout && usage.rateKnown:
+			charged += usage.rate * since.Seconds()
+		case since < timeout:
+			// Heard only once: assume that it admits its share of its clients' demand.
+			charged += l.admittedDemand(o, usage.demand) * since.Seconds()
+		case usage.rate > 0 && l.buckets[o] != nil:
+			usage.presumed = usage.rate * timeout.Seconds()
+			usage.rate = 0
+			l.buckets[o].take(usage.presumed)
 		}
 	}
-	if b := a.buckets[o]; b != nil && b.saved > 0 {
-		// The others know about as much as this daemon: together they give out what is
-		// left and what comes in, however high the rates of before.
-		charged = min(charged, max(b.level(), 0)+b.rate*newsTime.Seconds())
+	if b := l.buckets[o]; b != nil && b.savedFraction > 0 {
+		// Peers know about as much as this daemon: together they admit what is left and what flows
+		// in, however high their earlier rates were.
+		charged = min(charged, max(b.level(), 0)+b.rate*gossipTime.Seconds())
 	}
-	return charged, asked
+	return charged, demand
 }
 
-// given is what is admitted of a demand: all, or its share of the rate.
-func (a *Limiter) given(o identifier.Organisation, asked float64) float64 {
-	b := a.buckets[o]
-	if b == nil || b.all <= b.rate {
-		return asked
+// admittedDemand returns how much of a demand is admitted: all of it, or its share of the rate.
+func (l *Limiter) admittedDemand(o identifier.Organisation, demand float64) float64 {
+	b := l.buckets[o]
+	if b == nil || b.fleetDemand <= b.rate {
+		return demand
 	}
-	return asked * b.rate / b.all
+	return demand * b.rate / b.fleetDemand
 }
 
-// share is this daemon's part of what is asked of an organisation's quota.
-func (a *Limiter) share(own, all float64) float64 {
-	equal := a.equal()
+// demandShare returns this daemon's share of an organisation's quota by its part of the demand.
+func (l *Limiter) demandShare(local, all float64) float64 {
+	equal := l.equalShare()
 	if all <= 0 {
 		return equal
 	}
-	return max(own/all, leastShare*equal)
+	return max(local/all, minShareFraction*equal)
 }
 
-// equal is the part of a quota that each daemon has where demands are not known.
-func (a *Limiter) equal() float64 {
+// equalShare returns the fraction of a quota that each daemon has while demands are not known.
+func (l *Limiter) equalShare() float64 {
 	all := 1
-	for _, r := range a.others {
-		all += r.daemons
+	for _, p := range l.peers {
+		all += p.daemons
 	}
 	return 1 / float64(all)
 }
 
-// reserved is the part of each quota that is set aside for daemons that are
-// not heard.
-func (a *Limiter) reserved(now time.Time) float64 {
-	if now.Sub(a.counted) < reservedAge {
-		return a.aside
+// reservedFraction returns the fraction of each quota that is reserved for silent peers.
+func (l *Limiter) reservedFraction(now time.Time) float64 {
+	if now.Sub(l.reservedAt) < reservedMaxAge {
+		return l.reservedPart
 	}
-	a.counted, a.aside = now, a.countSilent(now)
-	return a.aside
+	l.reservedAt, l.reservedPart = now, l.silentFraction(now)
+	return l.reservedPart
 }
 
-func (a *Limiter) countSilent(now time.Time) float64 {
-	latest := make(map[identifier.Host]*remote, len(a.others))
-	for k, r := range a.others {
-		if now.Sub(r.heard) > memory {
-			delete(a.others, k)
+func (l *Limiter) silentFraction(now time.Time) float64 {
+	latest := make(map[identifier.Host]*peer, len(l.peers))
+	for k, p := range l.peers {
+		if now.Sub(p.heardAt) > peerTTL {
+			delete(l.peers, k)
 			continue
 		}
-		if l := latest[k.host]; l == nil || r.heard.After(l.heard) {
-			latest[k.host] = r
+		if last := latest[k.host]; last == nil || p.heardAt.After(last.heardAt) {
+			latest[k.host] = p
 		}
 	}
-	silent, all, silence := 0, 1, a.silence()
-	for _, r := range latest {
-		all += r.daemons
-		if now.Sub(r.heard) > silence {
-			silent += r.daemons
+	silent, all, timeout := 0, 1, l.silenceTimeout()
+	for _, p := range latest {
+		all += p.daemons
+		if now.Sub(p.heardAt) > timeout {
+			silent += p.daemons
 		} else {
-			silent += r.silent
+			silent += p.silent
 		}
 	}
-	if daemons := a.c.FleetSize(); now.Sub(a.start) < joining && all < daemons {
+	if daemons := l.c.FleetSize(); now.Sub(l.start) < joinTime && all < daemons {
 		silent += daemons - all
 		all = daemons
 	}
-	part := float64(silent) / float64(all)
-	if part > minority && now.Sub(a.start) >= joining {
-		a.isolated = now
+	fraction := float64(silent) / float64(all)
+	if fraction > minorityFraction && now.Sub(l.start) >= joinTime {
+		l.isolatedAt = now
 	}
-	return part
+	return fraction
 }
--- a/internal/route/quotalimiter/recent.go
+++ b/internal/route/quotalimiter/recent.go
@@ -2,73 +2,74 @@
 
 import "time"
 
-// slots divide the window: what was charged leaves it in steps of a thirty-second,
-// a quarter of a second of eight.
-const slots = 32
+// slotCount is the number of slots in a window: charges leave it in steps of a thirty-second of its
+// length, a quarter of a second for a window of eight.
+const slotCount = 32
 
-// recent is what an organisation was charged within the last window, by time.
-type recent struct {
+// slidingWindow holds an organisation's charges within the last window, by time slot.
+type slidingWindow struct {
 	window time.Duration
-	slot   [slots]float64
-	// last is the newest slot, which began at from.
-	last int
-	from time.Time
-	sum  float64
+	slots  [slotCount]float64
+	// newest is the index of the newest slot, which began at newestStart.
+	newest      int
+	newestStart time.Time
+	sum         float64
 }
 
-// length is that of a slot.
-func (r *recent) length() time.Duration { return max(r.window/slots, time.Millisecond) }
+// slotDuration returns the length of a slot.
+func (w *slidingWindow) slotDuration() time.Duration {
+	return max(w.window/slotCount, time.Millisecond)
+}
 
-// spread takes a sum for charged evenly over the window that ends now, its oldest part
-// at the very beginning.
-func (r *recent) spread(sum float64, now time.Time) {
-	r.from, r.sum = now.Add(-r.length()), sum
-	for i := range r.slot {
-		r.slot[i] = sum / slots
+// spread replaces the charges by a sum spread evenly over the window that ends now, with the oldest
+// slot at the very start of the window.
+func (w *slidingWindow) spread(sum float64, now time.Time) {
+	w.newestStart, w.sum = now.Add(-w.slotDuration()), sum
+	for i := range w.slots {
+		w.slots[i] = sum / slotCount
 	}
 }
 
-// pass lets what is older than the window go.
-func (r *recent) pass(now time.Time) {
-	length := r.length()
-	if now.Sub(r.from) >= r.window+length {
-		*r = recent{window: r.window, from: now}
+// advance drops charges that are older than the window.
+func (w *slidingWindow) advance(now time.Time) {
+	duration := w.slotDuration()
+	if now.Sub(w.newestStart) >= w.window+duration {
+		*w = slidingWindow{window: w.window, newestStart: now}
 		return
 	}
-	for ; now.Sub(r.from) >= length; r.from = r.from.Add(length) {
-		r.last = (r.last + 1) % slots
-		r.sum -= r.slot[r.last]
-		r.slot[r.last] = 0
+	for ; now.Sub(w.newestStart) >= duration; w.newestStart = w.newestStart.Add(duration) {
+		w.newest = (w.newest + 1) % slotCount
+		w.sum -= w.slots[w.newest]
+		w.slots[w.newest] = 0
 	}
 }
 
-// take adds a charge of now; a negative one gives back.
-func (r *recent) take(charge float64) {
-	r.slot[r.last] += charge
-	r.sum += charge
+// add adds a charge at the present time; a negative charge is a refund.
+func (w *slidingWindow) add(charge float64) {
+	w.slots[w.newest] += charge
+	w.sum += charge
 }
 
-// correct brings the sum to another one without moving what was charged in time.
-func (r *recent) correct(sum float64, now time.Time) {
-	if r.sum <= 0 || sum <= 0 {
-		r.spread(max(sum, 0), now)
+// rescale changes the sum and keeps the distribution of the charges over time.
+func (w *slidingWindow) rescale(sum float64, now time.Time) {
+	if w.sum <= 0 || sum <= 0 {
+		w.spread(max(sum, 0), now)
 		return
 	}
-	part := sum / r.sum
-	for i := range r.slot {
-		r.slot[i] *= part
+	factor := sum / w.sum
+	for i := range w.slots {
+		w.slots[i] *= factor
 	}
-	r.sum = sum
+	w.sum = sum
 }
 
-// leaving is what leaves the window in the next second, taken evenly from the slots
-// that cover it.
-func (r *recent) leaving() float64 {
-	length := r.length()
-	n := min(int(time.Second/length), slots-1)
+// expiring returns what leaves the window within the next second, from the slots that cover it.
+func (w *slidingWindow) expiring() float64 {
+	duration := w.slotDuration()
+	n := min(int(time.Second/duration), slotCount-1)
 	sum := 0.0
 	for i := range n {
-		sum += r.slot[(r.last+1+i)%slots]
+		sum += w.slots[(w.newest+1+i)%slotCount]
 	}
 	return sum
 }
--- a/internal/route/quotalimiter/regroup.go
+++ b/internal/route/quotalimiter/regroup.go
@@ -6,62 +6,61 @@
 	"brasschute/internal/core/identifier"
 )
 
-// former stands for all daemons as they were told before they are told in another way.
-const former = "former"
+// formerHost is the key of the aggregate of all peers as they were grouped before Regroup.
+const formerHost = "former"
 
-// regroupTime is how long what was known of the others is carried on until they are told
-// in the new way.
-const regroupTime = 2 * time.Second
+// regroupTimeout is how long the aggregate is kept while updates by the new groups arrive.
+const regroupTimeout = 2 * time.Second
 
-// Regroup prepares for news of the same daemons by other groups: one by one instead of
-// together, or the other way round. The first news of a group must then begin at nothing
-// charged, as what it charged before is in the buckets already.
+// Regroup prepares for updates of the same daemons in other groups: individually instead of
+// aggregated, or the reverse. The first update of a group must then start at a total of zero,
+// because earlier charges are already in the buckets.
 //
-// Were the others forgotten at once, this daemon would take all of the demand for its own
-// until it hears them in the new way, and give out the whole fleet's rate. So until half of
-// them are told anew, or for [regroupTime], they are taken to go on as before.
-func (a *Limiter) Regroup() {
+// If the peers were forgotten at once, this daemon would take all the demand for its own until it
+// receives updates in the new grouping, and admit the whole fleet's rate. So they are assumed to go
+// on as before until half of them are covered by new updates, or for [regroupTimeout].
+func (l *Limiter) Regroup() {
 	now := time.Now()
-	a.mu.Lock()
-	defer a.mu.Unlock()
-	if len(a.others) == 0 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.peers) == 0 {
 		return
 	}
-	all := &remote{born: a.start, heard: now, byOrg: make(map[identifier.Organisation]*count)}
-	silence := a.silence()
-	for k, r := range a.others {
-		all.daemons += r.daemons
-		all.silent += r.silent
-		if now.Sub(r.heard) > silence {
-			all.silent += r.daemons - r.silent
+	all := &peer{startedAt: l.start, heardAt: now, byOrg: make(map[identifier.Organisation]*peerUsage)}
+	timeout := l.silenceTimeout()
+	for k, p := range l.peers {
+		all.daemons += p.daemons
+		all.silent += p.silent
+		if now.Sub(p.heardAt) > timeout {
+			all.silent += p.daemons - p.silent
 		}
-		for name, n := range r.byOrg {
-			sum := all.count(name)
-			sum.rate += n.rate
-			sum.asked += n.asked
-			sum.rated = true
+		for name, usage := range p.byOrg {
+			sum := all.usageOf(name)
+			sum.rate += usage.rate
+			sum.demand += usage.demand
+			sum.rateKnown = true
 		}
-		delete(a.others, k)
+		delete(l.peers, k)
 	}
-	a.others[remoteKey{host: former}] = all
-	a.regroupedAt = now
+	l.peers[peerKey{host: formerHost}] = all
+	l.regroupedAt = now
 }
 
-// regrouped forgets the former groups once the new ones are known.
-func (a *Limiter) regrouped(now time.Time) {
-	k := remoteKey{host: former}
-	old := a.others[k]
+// dropFormer forgets the aggregate of the former groups once the new groups are known.
+func (l *Limiter) dropFormer(now time.Time) {
+	k := peerKey{host: formerHost}
+	old := l.peers[k]
 	if old == nil {
 		return
 	}
 	daemons := 0
-	for other, r := range a.others {
+	for other, p := range l.peers {
 		if other != k {
-			daemons += r.daemons
+			daemons += p.daemons
 		}
 	}
-	if 2*daemons < old.daemons && now.Sub(a.regroupedAt) < regroupTime {
+	if 2*daemons < old.daemons && now.Sub(l.regroupedAt) < regroupTimeout {
 		return
 	}
-	delete(a.others, k)
+	delete(l.peers, k)
 }
--- a/internal/route/quotalimiter/window_test.go
+++ b/internal/route/quotalimiter/window_test.go
@@ -9,42 +9,41 @@
 	"brasschute/internal/core/identifier"
 )
 
-// An organisation that uses half of its quota sends three times its usual for two
-// seconds. Over the window by which the quota is judged it stays below it all the
-// time, yet a bucket as deep as the burst refused half of what came.
+// An organisation that uses half of its quota sends three times its usual load for two seconds.
+// Over the quota's window it stays below its limit all the time, yet a bucket only as deep as the
+// burst refused half of the load.
 func TestShortOverloadWithinTheWindowIsAdmitted(t *testing.T) {
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 8))
-			o := desk(200_000)
+			o := newOrganisation(200_000)
 			f := newFleet()
 			const usual = 0.5 * 200_000 / tokens
-			f.load(r, o, usual, 20*time.Second, connected)
-			if share := f.load(r, o, 3*usual, 2*time.Second, connected); share < 0.97 {
-				t.Errorf("seed %d: %.2f of a short overload admitted", seed, share)
+			f.load(r, o, usual, 20*time.Second, noPartition)
+			if share := f.load(r, o, 3*usual, 2*time.Second, noPartition); share < 0.97 {
+				t.Errorf("seed %d: admitted %.2f of a short overload", seed, share)
 			}
 		})
 	}
 }
 
-// An organisation sends five times its usual for a quarter of a minute. What it had
-// saved up was given out at once, and then hardly anything for five seconds. No
-// second may pass in which less than a seventh of the rate is given out, and the
-// quota must hold.
+// An organisation sends five times its usual load for a quarter of a minute. When its saved
+// allowance was released at once, hardly anything was admitted for the next five seconds. In every
+// second at least a seventh of the rate must be admitted, and the quota must hold.
 func TestLongOverloadIsServedEvenly(t *testing.T) {
 	for seed := range uint64(4) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 9))
-			o := desk(400_000)
+			o := newOrganisation(400_000)
 			f := newFleet()
 			const usual = 0.5 * 400_000 / tokens
-			f.load(r, o, usual, 20*time.Second, connected)
+			f.load(r, o, usual, 20*time.Second, noPartition)
 			f.admitted = nil
 			begun := time.Now()
-			f.load(r, o, 5*usual, 15*time.Second, connected)
+			f.load(r, o, 5*usual, 15*time.Second, noPartition)
 			limit := limitOf(o)
-			if got := f.most(); got > limit {
-				t.Errorf("seed %d: %.0f tokens in a window, limit %.0f", seed, got, limit)
+			if got := f.maxInWindow(); got > limit {
+				t.Errorf("seed %d: %.0f tokens in one window, limit %.0f", seed, got, limit)
 			}
 			for second := range 15 {
 				from := begun.Add(time.Duration(second) * time.Second)
@@ -55,110 +54,109 @@
 					}
 				}
 				if sum < 0.15*o.RatePerSecond {
-					t.Errorf("seed %d, second %d: %.2f of the rate", seed, second, sum/o.RatePerSecond)
+					t.Errorf("seed %d, second %d: admitted %.2f of the rate", seed, second, sum/o.RatePerSecond)
 				}
 			}
 		})
 	}
 }
 
-// All daemons are killed at half of a quota and start again a second later. They have
-// not heard each other yet, and each gave out an eighth of the rate only: a third of
-// the first second's requests was refused. What the holder of the duties wrote down
-// tells them that there is plenty.
-func TestRestartWithARecordRefusesNothing(t *testing.T) {
+// All daemons are killed at half of a quota and start again a second later, before they hear from
+// each other. Without a snapshot each admitted only an eighth of the rate, and a third of the first
+// second's requests was refused. The snapshot stored by the lease holder shows that there is plenty
+// left.
+func TestRestartWithASnapshotRefusesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(11, 10))
-		o := desk(400_000)
+		o := newOrganisation(400_000)
 		f := newFleet()
 		const usual = 0.5 * 400_000 / tokens
-		f.load(r, o, usual, 20*time.Second, connected)
-		record := f.daemons[0].Snapshot(time.Now())
+		f.load(r, o, usual, 20*time.Second, noPartition)
+		snapshot := f.daemons[0].Snapshot(time.Now())
 		time.Sleep(time.Second)
 		for i := range f.daemons {
-			f.daemons[i] = newProcess()
-			f.daemons[i].Restore(record, time.Since(record.At))
+			f.daemons[i] = newDaemon()
+			f.daemons[i].Restore(snapshot, time.Since(snapshot.At))
 		}
-		if share := f.load(r, o, usual, time.Second, connected); share < 0.97 {
-			t.Errorf("%.2f admitted in the first second", share)
+		if share := f.load(r, o, usual, time.Second, noPartition); share < 0.97 {
+			t.Errorf("admitted %.2f in the first second", share)
 		}
 	})
 }
 
-// The same at an organisation's limit: the record tells that nothing is left, and the
-// new processes must not give out the burst again. One that is older than a few
-// seconds tells nothing.
-func TestRecordOfAUsedQuotaGivesNothing(t *testing.T) {
+// As above at an organisation's limit: the snapshot shows that nothing is left, and the new
+// processes must not admit the burst again. A snapshot older than a few seconds provides no level.
+func TestSnapshotOfAUsedQuotaAdmitsNothing(t *testing.T) {
 	for _, age := range []time.Duration{time.Second, 20 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(12, 11))
-			o := desk(200_000)
+			o := newOrganisation(200_000)
 			f := newFleet()
-			f.load(r, o, 64, 20*time.Second, connected)
-			record := f.daemons[0].Snapshot(time.Now())
+			f.load(r, o, 64, 20*time.Second, noPartition)
+			snapshot := f.daemons[0].Snapshot(time.Now())
 			for i := range f.daemons {
-				f.daemons[i] = newProcess()
-				f.daemons[i].Restore(record, age)
+				f.daemons[i] = newDaemon()
+				f.daemons[i].Restore(snapshot, age)
 			}
 			time.Sleep(500 * time.Millisecond)
-			f.load(r, o, 64, 10*time.Second, connected)
+			f.load(r, o, 64, 10*time.Second, noPartition)
 			limit := limitOf(o)
-			if got := f.most(); got > limit {
-				t.Errorf("record of %s: %.0f tokens in a window, limit %.0f", age, got, limit)
+			if got := f.maxInWindow(); got > limit {
+				t.Errorf("snapshot of age %s: %.0f tokens in one window, limit %.0f", age, got, limit)
 			}
 		})
 	}
 }
 
-// A quota lets three or four usual requests through at once. A daemon that had seen one small
-// request kept its bucket only as deep as a few like it, and refused the next one, of the
-// usual size, while most of the quota was unused.
+// A quota lets three or four requests of the usual size through at once. A daemon that had seen one
+// small request kept its bucket only as deep as a few such requests, and refused the next request
+// of the usual size while most of the quota was unused.
 func TestSmallRequestLeavesRoomForAUsualOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate, small, usual = 60_000, 3_000, 50_000
-		a := New(Config{Window: 8 * time.Second, Overage: 0.1, GossipDelay: func() time.Duration { return 2 * time.Second }})
-		o := desk(rate)
-		time.Sleep(joining)
+		l := New(Config{Window: 8 * time.Second, Overage: 0.1, GossipDelay: func() time.Duration { return 2 * time.Second }})
+		o := newOrganisation(rate)
+		time.Sleep(joinTime)
 		for _, size := range []float64{small, usual} {
-			if v := a.Admit(o, size); v.RetryAfter > 0 {
-				t.Errorf("a request of %.0f tokens is refused at a level of %.0f", size, v.Level)
+			if v := l.Admit(o, size); v.RetryAfter > 0 {
+				t.Errorf("request of %.0f tokens refused at level %.0f", size, v.Level)
 			}
 			time.Sleep(time.Second)
 		}
 	})
 }
 
-// A line of the log said "left 208014, charge 23888" of a request that was refused: what had
-// no room for it was this daemon's part, and the line did not say so.
-func TestVerdictSaysWhatHadNoRoom(t *testing.T) {
+// The decision must name the limit that refused a request. A refusal logged as "left 208014, charge
+// 23888" was caused by the daemon's share, which the line did not mention.
+func TestDecisionNamesTheCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate = 60_000
-		a := New(Config{Window: 8 * time.Second, Overage: 0.1, GossipDelay: func() time.Duration { return 2 * time.Second }})
-		o := desk(rate)
-		time.Sleep(joining)
-		if v := a.Admit(o, 0.9*rate); v.RetryAfter > 0 || v.Cause != "" {
+		l := New(Config{Window: 8 * time.Second, Overage: 0.1, GossipDelay: func() time.Duration { return 2 * time.Second }})
+		o := newOrganisation(rate)
+		time.Sleep(joinTime)
+		if v := l.Admit(o, 0.9*rate); v.RetryAfter > 0 || v.Cause != "" {
 			t.Errorf("a first request: %+v", v)
 		}
-		if v := a.Admit(o, 0.9*rate); v.Cause != BucketEmpty || v.Used <= 0 || v.Used >= 1 {
-			t.Errorf("a second request at once: %+v", v)
+		if v := l.Admit(o, 0.9*rate); v.Cause != BucketEmpty || v.Used <= 0 || v.Used >= 1 {
+			t.Errorf("second request right after the first: %+v", v)
 		}
-		// Another daemon asks for six times the rate: each gives out its part only.
+		// Another daemon reports six times the rate as demand, so each admits only its share.
 		for range 8 {
-			a.Merge(Update{Host: "other", Incarnation: 1, Age: time.Minute, Accounts: map[identifier.Organisation]Account{o.Name: {Asked: 6 * rate}}})
+			l.Merge(Update{Host: "other", Incarnation: 1, Age: time.Minute, Accounts: map[identifier.Organisation]Account{o.Name: {Asked: 6 * rate}}})
 			time.Sleep(500 * time.Millisecond)
 		}
 		causes := make(map[Cause]int)
 		for range 12 {
-			v := a.Admit(o, 0.2*rate)
+			v := l.Admit(o, 0.2*rate)
 			causes[v.Cause]++
 			time.Sleep(100 * time.Millisecond)
 		}
 		if causes[ShareExhausted] == 0 {
-			t.Errorf("causes %v", causes)
+			t.Errorf("causes %v, want some ShareExhausted", causes)
 		}
 		time.Sleep(time.Minute)
-		if v := a.Admit(o, 0.9*rate); v.Cause != Isolated && v.RetryAfter > 0 {
-			t.Errorf("cut off: %+v", v)
+		if v := l.Admit(o, 0.9*rate); v.Cause != Isolated && v.RetryAfter > 0 {
+			t.Errorf("isolated daemon: %+v", v)
 		}
 	})
 }
