--- a/internal/route/pacer/pacer.go
+++ b/internal/route/pacer/pacer.go
@@ -1,36 +1,37 @@
-// Package pacer holds all daemons together to what endpoints say they take.
+// Package pacer makes all daemons together keep to the rate limits that endpoints state.
 //
 // # Limits
 //
-// An endpoint in need names in its answers how many requests a second it takes from all
-// daemons together, for as long as it says so. What one answer said holds for all requests to
-// that life of the endpoint, at this daemon and, by news, at all others. An answer to a
-// request that was sent after the limit was named, and that names none, ends it.
+// An overloaded endpoint states in its responses how many requests per second it accepts from all
+// daemons together. A limit in one response applies to all requests to that incarnation of the
+// endpoint, at this daemon and, by gossip, at all others. It ends with a response without a limit
+// to a request that was sent after the limit was stated.
 //
-// # Who sends
+// # Senders
 //
-// A fleet has more daemons than a small limit has requests. If each had its equal part, all
-// of them could find their parts unused and send at the same moment, many times what the
-// endpoint takes. So only a few daemons send to an endpoint with a limit of N a second:
-// N + [spareSenders] of them, rounded down, those whose names hash highest with the
-// endpoint's. All daemons find the same ones without talking. Each sends N through their
-// number at an even pace and saves up no more than one request, so that T seconds bring no
-// more than N·T + N + [spareSenders] requests, whatever came before.
+// A fleet may have more daemons than a small limit has requests per second. If each daemon had an
+// equal share, all of them could find their shares unused and send at the same moment, many times
+// what the endpoint accepts. So only a few daemons send to an endpoint with a limit of N per
+// second: N + [spareSenders], rounded down, chosen by rendezvous hashing of their names with the
+// endpoint's, so that all daemons choose the same ones without communicating. Each sends N divided
+// by their number per second, evenly spaced, and saves up no more than one request. So T seconds
+// bring at most N·T + N + [spareSenders] requests, whatever came before.
 //
-// A daemon that hears only a part of the fleet takes that part of the limit: it may be cut
-// off from others that go on sending.
+// A daemon that hears from only a part of the fleet uses only that part of the limit, because it
+// may be partitioned from others that go on sending.
 //
-// # News
+// # Gossip
 //
-// Of two words about a life the later one counts, by the fleet's estimate of the true time,
-// which is told with it: passed on from daemon to daemon, an old word does not become newer.
+// Of two limits for an incarnation the later one applies, by the estimate of the true time that is
+// sent with it. A limit that is relayed from daemon to daemon does not become newer.
 //
 // # Usage
 //
-//	p := pacer.New(pacer.Config{Host: name, Fleet: others, Now: clock.Now, Changed: log})
-//	p.Heard(life, pacer.Named(2.5), sent)     // an answer
-//	if p.Take(life, time.Now()) { send() }    // right before a request goes out
-//	p.Hear(news); news = p.Told()             // peers
+//	p := pacer.New(pacer.Config{Host: name, Fleet: fleet, Now: clock.Now, OnChange: log})
+//	p.ObserveResponse(incarnation, pacer.NewRateLimit(2.5), sent)
+//	if p.Take(incarnation, time.Now()) { send() } // right before a request is sent
+//	p.Merge(limits) // from a peer
+//	limits = p.Updates() // for peers
 package pacer
 
 import (
@@ -44,129 +45,133 @@
 )
 
 const (
-	// endedAge is how long it is remembered that a limit has ended: longer than news is on
-	// its way.
-	endedAge = time.Minute
-	// maxAhead is how far ahead of this daemon's estimate of the time another one's may be.
-	maxAhead = 2 * time.Second
-	// mostLimits bounds the endpoints that are remembered, mostTold those that are told.
-	mostLimits = 4096
-	mostTold   = 64
+	// endedTTL is how long the end of a limit is remembered: longer than gossip takes to arrive.
+	endedTTL = time.Minute
+	// maxClockSkew is how far a peer's estimate of the time may be ahead of this daemon's.
+	maxClockSkew = 2 * time.Second
+	// maxLimits bounds the endpoints that are remembered, maxUpdates those that are gossiped.
+	maxLimits  = 4096
+	maxUpdates = 64
 )
 
-// Incarnation is one life of an endpoint.
+// Incarnation identifies one incarnation of an endpoint, by its start time.
 type Incarnation struct {
 	Endpoint identifier.Endpoint
 	Born     identifier.StartTime
 }
 
-// RateLimit is what an endpoint says of its limit.
+// RateLimit is what an endpoint states about its limit.
 type RateLimit struct {
-	// PerSecond counts the requests of all daemons together. Limited: it names a limit.
+	// PerSecond is the number of requests per second from all daemons together. Limited is false if
+	// the endpoint states no limit.
 	PerSecond float64
 	Limited   bool
 }
 
-// NewRateLimit is the word of an endpoint that names a limit.
+// NewRateLimit returns a limit of perSecond requests per second.
 func NewRateLimit(perSecond float64) RateLimit { return RateLimit{perSecond, true} }
 
-// Limit is the newest word of a life of an endpoint.
+// Limit is the latest limit, or the end of one, of an incarnation of an endpoint.
 type Limit struct {
 	Incarnation
 	RateLimit
-	// At is when it was said, by the fleet's estimate of the true time.
+	// At is when it was stated, by the fleet's estimate of the true time.
 	At time.Time
 }
 
-// Change is a word that differs from the one before.
+// Change is a limit that differs from the previous one.
 type Change struct {
 	Limit
 	Previous RateLimit
-	// Local: an answer to this daemon said so, not another daemon.
+	// Local is true if a response to this daemon stated the limit, false if a peer reported it.
 	Local bool
-	// Rate is what this daemon sends in a second, 0 if it does not.
+	// Rate is the number of requests per second that this daemon may send, 0 if it is not a sender.
 	Rate float64
 }
 
-// Config names the pacer's collaborators.
+// Config holds the pacer's dependencies.
 type Config struct {
 	Host  identifier.Host
 	Fleet func() Fleet
-	// Now estimates the true time.
+	// Now returns an estimate of the true time.
 	Now func() time.Time
-	// OnChange is told of changes.
+	// OnChange is called after each change.
 	OnChange func(Change)
 }
 
-// entry is what is known of one life.
+// entry is the state of one incarnation.
 type entry struct {
 	Limit
-	// named is when an answer to this daemon last named the limit.
-	named time.Time
-	// share is the part of the limit that this daemon sends, 0 for none, as of reviewed.
-	share    float64
-	reviewed time.Time
-	// last is when a request last took its turn.
-	last time.Time
+	// statedAt is when a response to this daemon last stated the limit.
+	statedAt time.Time
+	// rate is the number of requests per second that this daemon may send, 0 for none, as of
+	// refreshedAt.
+	rate        float64
+	refreshedAt time.Time
+	// lastSend is when a request last used its send slot.
+	lastSend time.Time
 }
 
-// Pacer is safe for concurrent use.
+// Pacer tracks the limits of endpoints and spaces this daemon's requests accordingly. It is safe
+// for concurrent use.
 type Pacer struct {
 	c Config
-	// limited counts the lives with a limit.
+	// limited is the number of incarnations with a limit.
 	limited atomic.Int64
 
-	mu    sync.Mutex
-	lives map[Incarnation]*entry
-	// fleet is as of heard.
-	fleet Fleet
-	heard time.Time
+	mu      sync.Mutex
+	entries map[Incarnation]*entry
+	// fleet is the result of Config.Fleet as of fleetAt.
+	fleet   Fleet
+	fleetAt time.Time
 }
 
-// New returns a pacer that knows no limit.
-func New(c Config) *Pacer { return &Pacer{c: c, lives: make(map[Incarnation]*entry)} }
+// New returns a pacer without limits.
+func New(c Config) *Pacer { return &Pacer{c: c, entries: make(map[Incarnation]*entry)} }
 
-// HasLimits tells whether some endpoint has a limit.
+// HasLimits reports whether any endpoint has a limit.
 func (p *Pacer) HasLimits() bool { return p.limited.Load() > 0 }
 
-// ObserveResponse takes in what an answer says to a request that was sent at a time.
-func (p *Pacer) ObserveResponse(l Incarnation, w RateLimit, sent time.Time) {
-	if !w.Limited && !p.HasLimits() {
+// ObserveResponse records the limit, or its absence, in the response to a request that was sent at
+// a given time.
+func (p *Pacer) ObserveResponse(i Incarnation, limit RateLimit, sent time.Time) {
+	if !limit.Limited && !p.HasLimits() {
 		return
 	}
 	p.mu.Lock()
-	e := p.lives[l]
-	if !w.Limited && (e == nil || sent.Before(e.named)) {
-		// Nothing to end; or the answer may have been made before the limit was.
+	e := p.entries[i]
+	if !limit.Limited && (e == nil || sent.Before(e.statedAt)) {
+		// There is no limit to end, or the response may have been written before the limit was
+		// stated.
 		p.mu.Unlock()
 		return
 	}
 	at := p.c.Now()
 	if e != nil && !at.After(e.At) {
-		// The clock that stamped the word before is ahead of this one.
+		// The clock that stamped the previous limit is ahead of this one.
 		at = e.At.Add(time.Millisecond)
 	}
-	change, news := p.set(Limit{Incarnation: l, RateLimit: w, At: at})
-	if e = p.lives[l]; e != nil && w.Limited {
-		e.named = time.Now()
+	change, changed := p.set(Limit{Incarnation: i, RateLimit: limit, At: at})
+	if e = p.entries[i]; e != nil && limit.Limited {
+		e.statedAt = time.Now()
 	}
 	p.mu.Unlock()
-	if news {
+	if changed {
 		change.Local = true
 		p.c.OnChange(change)
 	}
 }
 
-// Merge takes in what another daemon tells.
-func (p *Pacer) Merge(news []Limit) {
+// Merge records the limits that a peer reports.
+func (p *Pacer) Merge(limits []Limit) {
 	var changes []Change
 	p.mu.Lock()
-	latest := p.c.Now().Add(maxAhead)
-	for _, l := range news {
+	latest := p.c.Now().Add(maxClockSkew)
+	for _, l := range limits {
 		if l.At.After(latest) {
 			l.At = latest
 		}
-		if e := p.lives[l.Incarnation]; e != nil && !l.At.After(e.At) {
+		if e := p.entries[l.Incarnation]; e != nil && !l.At.After(e.At) {
 			continue
 		}
 		if change, changed := p.set(l); changed {
@@ -179,31 +184,31 @@
 	}
 }
 
-// set keeps a word that is the newest of its life, and reports whether it says something
-// else than the one before. The caller holds the lock.
+// set stores the latest limit of an incarnation and reports whether it differs from the previous
+// one. The caller holds the lock.
 func (p *Pacer) set(l Limit) (c Change, changed bool) {
-	e := p.lives[l.Incarnation]
+	e := p.entries[l.Incarnation]
 	if e == nil {
-		if len(p.lives) >= mostLimits {
+		if len(p.entries) >= maxLimits {
 			return Change{}, false
 		}
 		e = &entry{Limit: Limit{Incarnation: l.Incarnation}}
-		p.lives[l.Incarnation] = e
+		p.entries[l.Incarnation] = e
 	}
-	before := e.RateLimit
+	previous := e.RateLimit
 	e.Limit = l
-	if before == l.RateLimit {
+	if previous == l.RateLimit {
 		return Change{}, false
 	}
-	if l.Limited != before.Limited {
+	if l.Limited != previous.Limited {
 		p.limited.Add(delta(l.Limited))
 	}
-	e.reviewed = time.Time{}
-	p.review(e, time.Now())
-	return Change{Limit: l, Previous: before, Rate: e.share}, true
+	e.refreshedAt = time.Time{}
+	p.refresh(e, time.Now())
+	return Change{Limit: l, Previous: previous, Rate: e.rate}, true
 }
 
-// delta is by how much the number of limits changes.
+// delta returns the change in the number of limits.
 func delta(limited bool) int64 {
 	if limited {
 		return 1
@@ -211,63 +216,63 @@
 	return -1
 }
 
-// Ready tells whether a request to a life of an endpoint may go out now.
-func (p *Pacer) Ready(l Incarnation, now time.Time) bool {
+// Ready reports whether a request to an incarnation of an endpoint may be sent now.
+func (p *Pacer) Ready(i Incarnation, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.lives[l]
-	return e == nil || p.open(e, now)
+	e := p.entries[i]
+	return e == nil || p.ready(e, now)
 }
 
-func (p *Pacer) open(e *entry, now time.Time) bool {
+func (p *Pacer) ready(e *entry, now time.Time) bool {
 	if !e.Limited {
 		return true
 	}
-	p.review(e, now)
-	return e.share > 0 && now.Sub(e.last) >= e.pause()
+	p.refresh(e, now)
+	return e.rate > 0 && now.Sub(e.lastSend) >= e.interval()
 }
 
-// Take takes the turn of a request that goes out now, and reports whether it may.
-func (p *Pacer) Take(l Incarnation, now time.Time) bool {
+// Take uses the send slot for a request that is sent now, and reports whether it may be sent.
+func (p *Pacer) Take(i Incarnation, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	e := p.lives[l]
+	e := p.entries[i]
 	if e == nil || !e.Limited {
 		return true
 	}
-	if !p.open(e, now) {
+	if !p.ready(e, now) {
 		return false
 	}
-	e.last = now
+	e.lastSend = now
 	return true
 }
 
-// Return gives back the turn of a request that has not gone out.
-func (p *Pacer) Return(l Incarnation) {
+// Return gives back the slot of a request that was not sent.
+func (p *Pacer) Return(i Incarnation) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if e := p.lives[l]; e != nil && e.share > 0 {
-		e.last = e.last.Add(-e.pause())
+	if e := p.entries[i]; e != nil && e.rate > 0 {
+		e.lastSend = e.lastSend.Add(-e.interval())
 	}
 }
 
-// NextSend is when the next turn comes at a life of an endpoint; zero if this daemon sends
-// nothing there.
-func (p *Pacer) NextSend(l Incarnation) time.Time {
+// NextSend returns when the next send slot at an incarnation of an endpoint is due; zero if this
+// daemon does not send to it, or it has no limit.
+func (p *Pacer) NextSend(i Incarnation) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if e := p.lives[l]; e != nil && e.Limited && e.share > 0 {
-		return e.last.Add(e.pause())
+	if e := p.entries[i]; e != nil && e.Limited && e.rate > 0 {
+		return e.lastSend.Add(e.interval())
 	}
 	return time.Time{}
 }
 
-// Limits returns what is known, by endpoint; limits that have ended are left out.
+// Limits returns the current limits, ordered by endpoint; limits that have ended are left out.
 func (p *Pacer) Limits() []Limit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]Limit, 0, len(p.lives))
-	for _, e := range p.lives {
+	out := make([]Limit, 0, len(p.entries))
+	for _, e := range p.entries {
 		if e.Limited {
 			out = append(out, e.Limit)
 		}
@@ -276,32 +281,31 @@
 	return out
 }
 
-// Updates is what this daemon tells others: the newest words, those that ended a limit
-// included.
+// Updates returns the newest limits to report to peers, including ends of limits.
 func (p *Pacer) Updates() []Limit {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	out := make([]Limit, 0, len(p.lives))
-	for _, e := range p.lives {
+	out := make([]Limit, 0, len(p.entries))
+	for _, e := range p.entries {
 		out = append(out, e.Limit)
 	}
 	slices.SortFunc(out, func(a, b Limit) int { return b.At.Compare(a.At) })
-	return out[:min(len(out), mostTold)]
+	return out[:min(len(out), maxUpdates)]
 }
 
-// Prune forgets what is known of lives that are not listed any more, and limits that ended
-// long ago.
+// Prune removes the limits of incarnations that are no longer listed, and limits that ended long
+// ago.
 func (p *Pacer) Prune(listed func(Incarnation) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	old := p.c.Now().Add(-endedAge)
-	for l, e := range p.lives {
-		if e.At.After(old) || e.Limited && listed(l) {
+	cutoff := p.c.Now().Add(-endedTTL)
+	for i, e := range p.entries {
+		if e.At.After(cutoff) || e.Limited && listed(i) {
 			continue
 		}
 		if e.Limited {
 			p.limited.Add(-1)
 		}
-		delete(p.lives, l)
+		delete(p.entries, i)
 	}
 }
--- a/internal/route/pacer/share.go
+++ b/internal/route/pacer/share.go
@@ -10,73 +10,73 @@
 )
 
 const (
-	// spareSenders send besides one for each request a second, so that a limit is used
-	// though one of them has nothing to send.
+	// spareSenders daemons send in addition to one for each request per second, so that a limit is
+	// used even if one of them has nothing to send.
 	spareSenders = 2
-	// leastRate is what is sent to an endpoint that takes less, a request in ten seconds:
-	// one that is never asked can't say that its limit has ended.
-	leastRate = 0.1
-	// reviewPause is how often it is found out anew who sends.
-	reviewPause = 250 * time.Millisecond
+	// minRate is the rate for endpoints that accept less, one request in ten seconds: an endpoint
+	// that gets no requests cannot report that its limit has ended.
+	minRate = 0.1
+	// refreshInterval is how often the choice of senders is recomputed.
+	refreshInterval = 250 * time.Millisecond
 )
 
-// Fleet is the part of the fleet that a daemon hears.
+// Fleet is the part of the fleet that this daemon hears from.
 type Fleet struct {
-	// Peers are the daemons that live and take work, without this one.
+	// Peers are the other live daemons that accept new work.
 	Peers []identifier.Host
-	// Size is the number of all daemons, those included that are not heard.
+	// Size is the number of all daemons, including those not heard from.
 	Size int
-	// Stopping: this daemon takes no new work.
+	// Stopping: this daemon accepts no new work.
 	Stopping bool
 }
 
-// pause is the time between two turns.
-func (e *entry) pause() time.Duration { return time.Duration(float64(time.Second) / e.share) }
+// interval returns the time between two send slots.
+func (e *entry) interval() time.Duration { return time.Duration(float64(time.Second) / e.rate) }
 
-// review finds out what this daemon sends. One that begins to send waits for a part of its
-// pause: others that did until now may just have sent.
-func (p *Pacer) review(e *entry, now time.Time) {
-	if now.Sub(e.reviewed) < reviewPause {
+// refresh recomputes this daemon's rate. A daemon that becomes a sender first waits for a random
+// part of its interval, because those that have been senders until now may just have sent.
+func (p *Pacer) refresh(e *entry, now time.Time) {
+	if now.Sub(e.refreshedAt) < refreshInterval {
 		return
 	}
-	e.reviewed = now
-	before := e.share
-	e.share = p.share(e, now)
-	if before == 0 && e.share > 0 {
-		e.last = now.Add(-time.Duration(rand.Float64() * float64(e.pause())))
+	e.refreshedAt = now
+	previous := e.rate
+	e.rate = p.rate(e, now)
+	if previous == 0 && e.rate > 0 {
+		e.lastSend = now.Add(-time.Duration(rand.Float64() * float64(e.interval())))
 	}
 }
 
-// share is this daemon's part of a limit.
-func (p *Pacer) share(e *entry, now time.Time) float64 {
-	if now.Sub(p.heard) >= reviewPause {
-		p.heard, p.fleet = now, p.c.Fleet()
+// rate returns this daemon's part of a limit in requests per second.
+func (p *Pacer) rate(e *entry, now time.Time) float64 {
+	if now.Sub(p.fleetAt) >= refreshInterval {
+		p.fleetAt, p.fleet = now, p.c.Fleet()
 	}
 	if !e.Limited || p.fleet.Stopping {
 		return 0
 	}
-	perSecond := max(e.PerSecond, leastRate)
-	heard := len(p.fleet.Peers) + 1
-	senders := heard
-	if perSecond < float64(heard) {
-		senders = min(int(perSecond)+spareSenders, heard)
+	perSecond := max(e.PerSecond, minRate)
+	reachable := len(p.fleet.Peers) + 1
+	senders := reachable
+	if perSecond < float64(reachable) {
+		senders = min(int(perSecond)+spareSenders, reachable)
 	}
 	seed := xxhash.Sum64String(string(e.Endpoint))
-	own, before := rank(seed, p.c.Host), 0
+	self, ahead := weight(seed, p.c.Host), 0
 	for _, other := range p.fleet.Peers {
-		if rank(seed, other) > own {
-			before++
+		if weight(seed, other) > self {
+			ahead++
 		}
 	}
-	if before >= senders {
+	if ahead >= senders {
 		return 0
 	}
-	return perSecond / float64(senders) * float64(heard) / float64(max(p.fleet.Size, heard))
+	return perSecond / float64(senders) * float64(reachable) / float64(max(p.fleet.Size, reachable))
 }
 
-// rank orders the daemons for one endpoint, the same everywhere.
-func rank(seed uint64, host identifier.Host) uint64 {
-	const odd = 0x9e3779b97f4a7c15
-	x := (seed ^ xxhash.Sum64String(string(host))) * odd
-	return (x ^ x>>32) * odd
+// weight is the rendezvous weight of a daemon for an endpoint, the same at every daemon.
+func weight(seed uint64, host identifier.Host) uint64 {
+	const multiplier = 0x9e3779b97f4a7c15
+	x := (seed ^ xxhash.Sum64String(string(host))) * multiplier
+	return (x ^ x>>32) * multiplier
 }
