--- a/internal/route/estimator/estimator.go
+++ b/internal/route/estimator/estimator.go
@@ -1,35 +1,34 @@
-// Package estimator learns how fast the engines of a service are.
+// Package estimator estimates the prefill speed of the engines of a service.
 //
-// # What is learned
+// # Method
 //
-// An engine reads prompts before it writes, and how many tokens it reads in a second
-// differs by a factor of ten between models and machines; no configuration says it.
-// Each first event tells: its request's uncached prompt tokens over its time, less the
-// fixed time that an engine takes for any prompt, corrected for the streams that ran
-// beside it. Long prompts tell the speed, short ones the fixed time. The estimates
-// follow the quicker quarter of what is seen, as many wait for a prompt or two even at
-// engines that are half idle, by steps of bounded size, so that no single answer,
-// and no single engine that is slow or lies, moves them far: one engine of twelve
-// shifts them by some hundredths.
+// An engine reads a prompt (prefill) before it writes (decode). How many prompt tokens it reads per
+// second differs by a factor of ten between models and machines, and no configuration states it.
+// Each first event provides a sample: the uncached prompt tokens of its request over the time it
+// took, less the fixed latency that an engine has for any prompt, corrected for the streams that
+// ran beside it. Long prompts determine the speed, short ones the fixed latency. The estimates
+// follow the fastest quarter of the samples, because many requests wait for a prompt or two even at
+// engines that are half idle. They move in steps of bounded size, so that no single sample, and no
+// single engine that is slow or reports wrong figures, moves them far: one engine of twelve shifts
+// them by a few hundredths.
 //
-// # Queues are not slowness
+// # Queueing is not slowness
 //
-// A request that waits behind others seems to be read slowly. Under an overload the
-// estimate would fall, the load seem to grow, and the pool with it. So slow answers
-// count only from engines that were taken to be unoccupied; fast ones always do, as
-// nothing but a fast engine gives them. An estimate that is too low calls engines
-// occupied that are not, and is mended by the fast ones.
+// A request that waits behind others seems to be read slowly. If such samples counted, the estimate
+// would fall under an overload, the load would seem to grow, and the pool would be enlarged. So
+// slow samples count only from engines that were presumed idle; fast ones always count, because
+// only a fast engine produces them. An estimate that is too low makes idle engines look occupied,
+// and is corrected by the fast samples.
 //
-// # One estimate for the fleet
+// # Fleet-wide estimate
 //
-// Daemons tell each other theirs, and each goes by the median, weighted by the number
-// of answers that it rests on. A new process goes by what the others know, and by
-// [firstSpeed] if nobody knows anything.
+// Daemons gossip their estimates, and each uses the median, weighted by sample counts. A new
+// process uses what its peers know, and [initialSpeed] if nobody knows anything.
 //
 // # Usage
 //
-//	e.Observe(service, estimator.Observation{...})
-//	speed := e.Of(service, time.Now()).Speed
+//	e.ObserveFirstEvent(service, estimator.Observation{...})
+//	speed := e.Estimate(service, time.Now()).Speed
 package estimator
 
 import (
@@ -44,266 +43,268 @@
 )
 
 const (
-	// firstSpeed is taken until the first answers: between the fastest and the
-	// slowest engines that were met (20,000 and 110,000 tokens a second).
-	firstSpeed = 40_000
-	// leastSpeed and mostSpeed bound what is believed.
-	leastSpeed = 500
-	mostSpeed  = 5_000_000
-	// firstStep is how far the first answer moves the logarithm of the estimate,
-	// leastStep how far each one does after many: five times the truth is left
-	// behind within a dozen answers, and later a hundred of them are as good as
-	// a twentieth of the truth.
-	firstStep  = 0.8
-	leastStep  = 0.03
-	stepAnswer = 4
-	// fallPart of the mean of late is the least that the speed may fall to at once, and
-	// meanTime the time over which that mean is taken. When a load begins, all caches
-	// are cold and the queues are not yet known: sixty daemons found engines of 45,000
-	// tokens a second to read 9,000 within three seconds, and twice the pool was ordered.
-	fallPart = 0.8
-	meanTime = 8 * time.Second
-	// quickPart of the answers make the estimate quicker by as much in all as the others
-	// make it slower: three of four are taken to have waited.
-	// The first settled answers count alike, to find the order of magnitude.
-	quickPart = 0.75
-	settled   = 16
-	// fullPrompt is the number of uncached tokens from which on an answer counts
-	// fully: with a short prompt the engine's fixed time says more than its reading.
+	// initialSpeed is used until the first samples, in tokens per second: between the slowest and
+	// the fastest engines seen (20,000 and 110,000).
+	initialSpeed = 40_000
+	// minSpeed and maxSpeed bound the estimate.
+	minSpeed = 500
+	maxSpeed = 5_000_000
+	// initialStep is how far the first sample moves the logarithm of the estimate, minStep how far
+	// each one does after many, and stepSamples the number of samples after which the step is half
+	// as large. An estimate wrong by a factor of five is corrected within a dozen samples, and
+	// later a hundred samples reach the true value to within a twentieth.
+	initialStep = 0.8
+	minStep     = 0.03
+	stepSamples = 4
+	// The speed may fall at once to minSpeedFraction of its mean over meanTime, but no further.
+	// When a load begins, all caches are cold and the queues are not known yet: sixty daemons
+	// estimated engines of 45,000 tokens per second at 9,000 within three seconds, and twice the
+	// pool was ordered.
+	minSpeedFraction = 0.8
+	meanTime         = 8 * time.Second
+	// slowFraction of the samples, three of four, are assumed to be slow because their requests
+	// waited: the fastest quarter raises the estimate by as much in total as the others lower it.
+	// The first warmupSamples samples count alike, to find the order of magnitude.
+	slowFraction  = 0.75
+	warmupSamples = 16
+	// fullPrompt is the number of uncached tokens from which a sample has full weight: with a short
+	// prompt, the fixed latency of the engine matters more than its speed. minWeight is the least
+	// weight of a sample.
 	fullPrompt = 2048
-	leastPart  = 0.02
-	// firstFixed is taken for the fixed time until the first answers; mostFixed bounds it.
-	firstFixed = 10 * time.Millisecond
-	leastFixed = time.Millisecond
-	mostFixed  = time.Second
-	// firstToken is taken for the time between two output tokens until streams tell it;
-	// tokenWeight is the weight of the newest stream, mostToken bounds one.
-	firstToken  = 10 * time.Millisecond
-	tokenWeight = 0.05
-	mostToken   = time.Second
-	// idlePart of a request's own tokens may be ahead of it at an engine that
-	// counts as unoccupied.
-	idlePart = 0.5
-	// mostAnswers bounds the weight of one daemon's estimate.
-	mostAnswers = 500
-	// toldAge is how long what another daemon told counts.
-	toldAge = 20 * time.Second
+	minWeight  = 0.02
+	// initialFixed is the fixed latency until the first samples; minFixed and maxFixed bound it.
+	initialFixed = 10 * time.Millisecond
+	minFixed     = time.Millisecond
+	maxFixed     = time.Second
+	// initialTokenInterval is the time between two output tokens until streams provide samples;
+	// tokenWeight is the weight of the newest stream, and maxTokenInterval bounds the interval in
+	// one stream.
+	initialTokenInterval = 10 * time.Millisecond
+	tokenWeight          = 0.05
+	maxTokenInterval     = time.Second
+	// idleFraction of a request's own tokens may be ahead of it at an engine that counts as idle.
+	idleFraction = 0.5
+	// maxSamples bounds the weight of one daemon's estimate.
+	maxSamples = 500
+	// peerTTL is how long the estimate of a peer is used.
+	peerTTL = 20 * time.Second
 )
 
-// Speed is a number of prompt tokens read in a second.
+// Speed is a prefill speed in prompt tokens per second.
 type Speed float64
 
-// Observation is one first event.
+// Observation is the first event of one stream.
 type Observation struct {
-	// Uncached is the number of prompt tokens that the engine had to read, Ahead that
-	// of those presumed to be read before, Streams the streams that ran beside it.
-	Uncached identifier.Tokens
-	TokensAhead    float64
-	Streams  float64
-	// Took is the time from sending to the first event.
+	// Uncached is the number of prompt tokens that the engine had to read, TokensAhead the number
+	// presumed to be read before them, and Streams the number of streams that ran beside it.
+	Uncached    identifier.Tokens
+	TokensAhead float64
+	Streams     float64
+	// Took is the time from sending the request to its first event.
 	Took time.Duration
 }
 
-// Estimate is what is known of an engine, and the number of answers that it rests on.
+// Estimate describes the engines of a service, by a number of samples.
 type Estimate struct {
 	Speed Speed
-	// FixedLatency is the time to a first event without any prompt to read.
-	FixedLatency   time.Duration
-	Samples int
+	// FixedLatency is the time to the first event apart from prefill.
+	FixedLatency time.Duration
+	Samples      int
 }
 
-// told is what another daemon told of a service.
-type told struct {
+// peerEstimate is the estimate of a service that a peer has reported.
+type peerEstimate struct {
 	Estimate
 	at time.Time
 }
 
-// learned is what is known of one service.
-type learned struct {
-	own    Estimate
-	others map[identifier.Host]told
-	// token is the time between two output tokens of this daemon's streams.
-	token time.Duration
-	// short is the number of answers that own.Fixed rests on.
-	short int
-	// mean is that of own.Speed over meanTime, as of meant.
-	mean  float64
-	meant time.Time
-	// fleet is the median as of at.
-	fleet Estimate
-	at    time.Time
+// state is what is known of one service.
+type state struct {
+	local Estimate
+	peers map[identifier.Host]peerEstimate
+	// tokenInterval is the time between two output tokens in this daemon's streams.
+	tokenInterval time.Duration
+	// fixedSamples is the number of samples behind local.FixedLatency.
+	fixedSamples int
+	// mean is the mean of local.Speed over meanTime, as of meanAt.
+	mean   float64
+	meanAt time.Time
+	// fleet is the median over all daemons as of fleetAt.
+	fleet   Estimate
+	fleetAt time.Time
 }
 
-// Estimator learns. The zero value is ready; it is safe for concurrent use.
+// Estimator learns from this daemon's streams and from peers. The zero value is ready to use; it is
+// safe for concurrent use.
 type Estimator struct {
-	mu sync.Mutex
-	by map[identifier.Service]*learned
+	mu     sync.Mutex
+	states map[identifier.Service]*state
 }
 
-func (e *Estimator) get(s identifier.Service) *learned {
-	if e.by == nil {
-		e.by = make(map[identifier.Service]*learned)
+func (e *Estimator) get(s identifier.Service) *state {
+	if e.states == nil {
+		e.states = make(map[identifier.Service]*state)
 	}
-	l := e.by[s]
-	if l == nil {
-		l = &learned{own: Estimate{Speed: firstSpeed, FixedLatency: firstFixed}, token: firstToken, others: make(map[identifier.Host]told)}
-		e.by[s] = l
+	st := e.states[s]
+	if st == nil {
+		st = &state{local: Estimate{Speed: initialSpeed, FixedLatency: initialFixed}, tokenInterval: initialTokenInterval, peers: make(map[identifier.Host]peerEstimate)}
+		e.states[s] = st
 	}
-	return l
+	return st
 }
 
-// ObserveFirstEvent takes in a first event.
+// ObserveFirstEvent adds the sample of a first event.
 func (e *Estimator) ObserveFirstEvent(s identifier.Service, o Observation) {
 	if o.Uncached <= 0 || o.Took <= 0 {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.get(s)
+	st := e.get(s)
 	uncached := float64(o.Uncached)
-	reading := uncached / float64(l.own.Speed) * (1 + selector.BatchSlowdown*max(o.Streams, 0))
-	faster := o.Took.Seconds()-l.own.FixedLatency.Seconds() < reading
-	if !faster && o.TokensAhead > idlePart*uncached {
+	prefillTime := uncached / float64(st.local.Speed) * (1 + selector.BatchSlowdown*max(o.Streams, 0))
+	faster := o.Took.Seconds()-st.local.FixedLatency.Seconds() < prefillTime
+	if !faster && o.TokensAhead > idleFraction*uncached {
 		return
 	}
-	weight := max(min(uncached/fullPrompt, 1), leastPart)
-	speed := max(float64(l.own.Speed)*quicker(faster, l.own.Samples, weight), l.least(time.Now()))
-	l.own.Speed = Speed(min(max(speed, leastSpeed), mostSpeed))
-	l.own.Samples = min(l.own.Samples+1, mostAnswers)
+	weight := max(min(uncached/fullPrompt, 1), minWeight)
+	speed := max(float64(st.local.Speed)*speedFactor(faster, st.local.Samples, weight), st.minAllowedSpeed(time.Now()))
+	st.local.Speed = Speed(min(max(speed, minSpeed), maxSpeed))
+	st.local.Samples = min(st.local.Samples+1, maxSamples)
 	switch {
-	case o.Took < l.own.FixedLatency:
-		l.fix(true, 1)
+	case o.Took < st.local.FixedLatency:
+		st.adjustFixed(true, 1)
 	case weight < 1:
-		l.fix(faster, 1-weight)
+		st.adjustFixed(faster, 1-weight)
 	}
 }
 
-// ObserveStream takes in the length of a stream, in output tokens, and the time from its first
-// event to its last.
+// ObserveStream adds the sample of a stream: its length in output tokens and the time from its
+// first event to its last.
 func (e *Estimator) ObserveStream(s identifier.Service, tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.get(s)
-	each := min(took/time.Duration(tokens), mostToken)
-	l.token += time.Duration(tokenWeight * float64(each-l.token))
+	st := e.get(s)
+	interval := min(took/time.Duration(tokens), maxTokenInterval)
+	st.tokenInterval += time.Duration(tokenWeight * float64(interval-st.tokenInterval))
 }
 
-// TokenInterval returns the time between two output tokens, as this daemon's streams tell it.
+// TokenInterval returns the time between two output tokens in this daemon's streams.
 func (e *Estimator) TokenInterval(s identifier.Service) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.get(s).token, time.Microsecond)
+	return max(e.get(s).tokenInterval, time.Microsecond)
 }
 
-// least is what the speed may fall to now.
-func (l *learned) least(now time.Time) float64 {
-	if l.meant.IsZero() {
-		l.mean = float64(l.own.Speed)
+// minAllowedSpeed returns what the speed may fall to now.
+func (st *state) minAllowedSpeed(now time.Time) float64 {
+	if st.meanAt.IsZero() {
+		st.mean = float64(st.local.Speed)
 	} else {
-		part := math.Exp(-now.Sub(l.meant).Seconds() / meanTime.Seconds())
-		l.mean = part*l.mean + (1-part)*float64(l.own.Speed)
+		weight := math.Exp(-now.Sub(st.meanAt).Seconds() / meanTime.Seconds())
+		st.mean = weight*st.mean + (1-weight)*float64(st.local.Speed)
 	}
-	l.meant = now
-	return fallPart * l.mean
+	st.meanAt = now
+	return minSpeedFraction * st.mean
 }
 
-// fix moves the estimate of the fixed time by an answer that was quicker than
-// estimated, or was not.
-func (l *learned) fix(quick bool, weight float64) {
-	fixed := l.own.FixedLatency.Seconds() / quicker(quick, l.short, weight)
-	l.own.FixedLatency = time.Duration(min(max(fixed, leastFixed.Seconds()), mostFixed.Seconds()) * float64(time.Second))
-	l.short++
+// adjustFixed adjusts the estimate of the fixed latency by a sample that was faster than estimated,
+// or not.
+func (st *state) adjustFixed(faster bool, weight float64) {
+	fixed := st.local.FixedLatency.Seconds() / speedFactor(faster, st.fixedSamples, weight)
+	st.local.FixedLatency = time.Duration(min(max(fixed, minFixed.Seconds()), maxFixed.Seconds()) * float64(time.Second))
+	st.fixedSamples++
 }
 
-// quicker is the factor by which an engine is taken to be quicker than before, or slower
-// if it is below one, after one more answer than those that the estimate rests on;
-// quick: the answer was quicker than estimated.
-func quicker(quick bool, answers int, weight float64) float64 {
-	size := max(firstStep/(1+float64(answers)/stepAnswer), leastStep) * weight
+// speedFactor returns the factor by which one sample changes an estimate that rests on the given
+// number of samples: above one if the sample was faster than estimated, otherwise below one.
+func speedFactor(faster bool, samples int, weight float64) float64 {
+	step := max(initialStep/(1+float64(samples)/stepSamples), minStep) * weight
 	switch {
-	case answers < settled:
-	case quick:
-		size *= 2 * quickPart
+	case samples < warmupSamples:
+	case faster:
+		step *= 2 * slowFraction
 	default:
-		size *= 2 * (1 - quickPart)
+		step *= 2 * (1 - slowFraction)
 	}
-	if !quick {
-		size = -size
+	if !faster {
+		step = -step
 	}
-	return math.Exp(size)
+	return math.Exp(step)
 }
 
-// Local returns what this daemon has learned itself, to be told to the others.
+// Local returns this daemon's own estimates, to be reported to peers.
 func (e *Estimator) Local() map[identifier.Service]Estimate {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := make(map[identifier.Service]Estimate, len(e.by))
-	for s, l := range e.by {
-		if l.own.Samples > 0 {
-			out[s] = l.own
+	out := make(map[identifier.Service]Estimate, len(e.states))
+	for s, st := range e.states {
+		if st.local.Samples > 0 {
+			out[s] = st.local
 		}
 	}
 	return out
 }
 
-// Merge takes in what another daemon has learned.
-func (e *Estimator) Merge(from identifier.Host, s identifier.Service, t Estimate, now time.Time) {
-	if t.Samples <= 0 || !(t.Speed >= leastSpeed && t.Speed <= mostSpeed) {
+// Merge records the estimate that a peer reports. Estimates without samples or with a speed out of
+// bounds are ignored.
+func (e *Estimator) Merge(from identifier.Host, s identifier.Service, reported Estimate, now time.Time) {
+	if reported.Samples <= 0 || !(reported.Speed >= minSpeed && reported.Speed <= maxSpeed) {
 		return
 	}
-	t.FixedLatency = min(max(t.FixedLatency, leastFixed), mostFixed)
-	t.Samples = min(t.Samples, mostAnswers)
+	reported.FixedLatency = min(max(reported.FixedLatency, minFixed), maxFixed)
+	reported.Samples = min(reported.Samples, maxSamples)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.get(s).others[from] = told{t, now}
+	e.get(s).peers[from] = peerEstimate{reported, now}
 }
 
-// medianPause is how often the median is taken anew.
-const medianPause = 200 * time.Millisecond
+// medianInterval is how often the median is recomputed.
+const medianInterval = 200 * time.Millisecond
 
-// Estimate returns what the fleet knows of a service's engines.
+// Estimate returns the fleet-wide estimate of a service's engines.
 func (e *Estimator) Estimate(s identifier.Service, now time.Time) Estimate {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	l := e.get(s)
-	if l.at.IsZero() || now.Sub(l.at) >= medianPause {
-		l.fleet, l.at = l.median(now), now
-		if l.own.Samples == 0 {
-			// What the others know is a better start than the first value.
-			l.own = Estimate{Speed: l.fleet.Speed, FixedLatency: l.fleet.FixedLatency}
+	st := e.get(s)
+	if st.fleetAt.IsZero() || now.Sub(st.fleetAt) >= medianInterval {
+		st.fleet, st.fleetAt = st.median(now), now
+		if st.local.Samples == 0 {
+			// What peers know is a better start than the initial value.
+			st.local = Estimate{Speed: st.fleet.Speed, FixedLatency: st.fleet.FixedLatency}
 		}
 	}
-	return l.fleet
+	return st.fleet
 }
 
-// median is the estimate in the middle of all daemons', by speed, weighted by their
-// answers. What is too old is forgotten.
-func (l *learned) median(now time.Time) Estimate {
-	all := []Estimate{l.own}
-	for host, t := range l.others {
-		if now.Sub(t.at) > toldAge {
-			delete(l.others, host)
+// median returns the median of all daemons' estimates by speed, weighted by their samples, and
+// drops estimates that are too old.
+func (st *state) median(now time.Time) Estimate {
+	all := []Estimate{st.local}
+	for host, estimate := range st.peers {
+		if now.Sub(estimate.at) > peerTTL {
+			delete(st.peers, host)
 			continue
 		}
-		all = append(all, t.Estimate)
+		all = append(all, estimate.Estimate)
 	}
 	slices.SortFunc(all, func(a, b Estimate) int { return cmp.Compare(a.Speed, b.Speed) })
 	sum := 0
-	for _, t := range all {
-		sum += t.Samples
+	for _, estimate := range all {
+		sum += estimate.Samples
 	}
 	if sum == 0 {
-		return l.own
+		return st.local
 	}
 	below := 0
-	for _, t := range all {
-		below += t.Samples
+	for _, estimate := range all {
+		below += estimate.Samples
 		if 2*below >= sum {
-			return t
+			return estimate
 		}
 	}
-	return l.own
+	return st.local
 }
