--- a/internal/route/shedder/shedder.go
+++ b/internal/route/shedder/shedder.go
@@ -1,24 +1,23 @@
-// Package forecaster decides whether a request that would be served too late is turned
-// away instead.
+// Package shedder decides whether a request that would be served too late is refused instead.
 //
-// # The load it answers
+// # Load shedding
 //
-// When more is asked for than the engines read, queues grow until each answer comes
-// after its client has given up: the engines are fully busy, and nobody is served. A
-// request whose prompt is predicted to be read only after that is refused before it is
-// sent, truthfully as not run, so that those that can still be served are.
+// When demand exceeds the prefill capacity of the engines, queues grow until each response comes
+// after its client has given up: the engines are fully busy, and nobody is served. A request whose
+// prefill is predicted to begin only after that is therefore refused before it is sent, and
+// correctly reported as not run, so that the requests that can still be served are.
 //
-// # Who goes first
+// # Priorities
 //
-// Engines admit urgent requests before others, so the queue ahead says little of their
-// wait: the most urgent ones are refused at twice the wait. Refused clients are told to
-// come back when the queue will have been read to half of the objective, the more
-// urgent ones earlier, and spread out, so that they do not come back together.
+// Engines admit urgent requests before others, so the queue ahead says little about their delay:
+// the most urgent ones are refused only at twice the delay. Refused clients are told to retry when
+// the queue will have shrunk to half of the objective, those with more urgent priorities earlier,
+// with jitter so that they do not return together.
 //
 // # Usage
 //
-//	v := forecaster.Decide(&forecaster.Input{...})
-//	if v.Refuse { tell the client v.RetryAfter }
+//	d := shedder.Decide(&shedder.Input{...})
+//	if d.Refuse { tell the client d.RetryAfter }
 package shedder
 
 import (
@@ -29,68 +28,67 @@
 )
 
 const (
-	// Clients of streams give up after a silence of leastPatience, patienceObjectives
-	// times the objective or patiencePauses times the longest pause, as published.
-	leastPatience      = 2 * time.Second
-	patienceObjectives = 4
-	patiencePauses     = 8
-	// urgentFactor is how many times longer the most urgent requests may be predicted
-	// to wait.
+	// Clients of streams give up after a silence of minClientTimeout, objectiveFactor times the
+	// first-event objective or gapFactor times the event-gap objective, whichever is longest, as
+	// published to clients.
+	minClientTimeout = 2 * time.Second
+	objectiveFactor  = 4
+	gapFactor        = 8
+	// urgentFactor is how many times longer the predicted delay of the most urgent requests may be.
 	urgentFactor = 2
-	// rankDelay is the part by which each lower rank comes back later; most ranks
-	// count.
+	// rankDelay is the fraction by which each less urgent rank retries later; maxRanks ranks count.
 	rankDelay = 0.25
-	mostRanks = 4
-	// leastRetry keeps refused clients from coming back before anything has changed;
-	// they heed no more than leftPart of the time that they have left.
-	leastRetry = 200 * time.Millisecond
-	leftPart   = 1.0 / 3
+	maxRanks  = 4
+	// minRetryAfter keeps refused clients from returning before anything has changed. Clients do
+	// not wait for longer than remainingFraction of the time until their deadline.
+	minRetryAfter     = 200 * time.Millisecond
+	remainingFraction = 1.0 / 3
 )
 
-// Input is what a decision needs to know.
+// Input holds what a decision depends on.
 type Input struct {
 	Route *catalog.Route
-	// Rank is the request's; 0 is the most urgent.
+	// Rank is the priority of the request; 0 is the most urgent.
 	Rank int
-	// QueueDelay is the predicted time until the request's own prompt is read: a long prompt
-	// alone is no reason to refuse it. Waited is the time since the request came, Left
-	// that until its deadline.
-	QueueDelay  time.Duration
-	Waited time.Duration
-	Remaining   time.Duration
+	// QueueDelay is the predicted time until the prefill of the request itself begins, because a
+	// long prompt alone is no reason to refuse a request. Waited is the time since the request
+	// arrived, Remaining the time until its deadline.
+	QueueDelay time.Duration
+	Waited     time.Duration
+	Remaining  time.Duration
 }
 
-// Decision is the decision.
+// Decision is the outcome for one request.
 type Decision struct {
 	Refuse bool
-	// MaxDelay is the longest wait that would have been accepted.
+	// MaxDelay is the longest queue delay that would have been accepted.
 	MaxDelay time.Duration
-	// RetryAfter is when the client should come back, if refused.
+	// RetryAfter is when the client should retry, if refused.
 	RetryAfter time.Duration
 }
 
-// ClientTimeout is how long the client of a stream waits for an event.
+// ClientTimeout returns how long the client of a stream waits for an event.
 func ClientTimeout(r *catalog.Route) time.Duration {
-	return max(leastPatience, patienceObjectives*r.FirstEventObjective, patiencePauses*r.EventGapObjective)
+	return max(minClientTimeout, objectiveFactor*r.FirstEventObjective, gapFactor*r.EventGapObjective)
 }
 
-// Decide decides for one request that has not been sent yet.
+// Decide decides whether to refuse a request that has not been sent yet.
 func Decide(in *Input) Decision {
-	v := Decision{MaxDelay: in.Remaining}
+	d := Decision{MaxDelay: in.Remaining}
 	if in.Route.Kind == catalog.Streaming {
-		v.MaxDelay = min(v.MaxDelay, ClientTimeout(in.Route)-in.Waited)
+		d.MaxDelay = min(d.MaxDelay, ClientTimeout(in.Route)-in.Waited)
 	}
 	if in.Rank <= 0 {
-		v.MaxDelay *= urgentFactor
+		d.MaxDelay *= urgentFactor
 	}
-	if in.QueueDelay <= v.MaxDelay {
-		return v
+	if in.QueueDelay <= d.MaxDelay {
+		return d
 	}
-	v.Refuse = true
-	later := 1 + rankDelay*float64(min(max(in.Rank, 0), mostRanks))
-	after := time.Duration(float64(in.QueueDelay-in.Route.FirstEventObjective/2) * later)
-	after = max(after, leastRetry)
+	d.Refuse = true
+	factor := 1 + rankDelay*float64(min(max(in.Rank, 0), maxRanks))
+	after := time.Duration(float64(in.QueueDelay-in.Route.FirstEventObjective/2) * factor)
+	after = max(after, minRetryAfter)
 	after += rand.N(after/2 + 1)
-	v.RetryAfter = max(min(after, time.Duration(leftPart*float64(in.Remaining))), 0)
-	return v
+	d.RetryAfter = max(min(after, time.Duration(remainingFraction*float64(in.Remaining))), 0)
+	return d
 }
