--- a/internal/route/demandmeter/demandmeter.go
+++ b/internal/route/demandmeter/demandmeter.go
@@ -1,9 +1,9 @@
-// Package demander measures what clients ask of each service.
+// Package demandmeter measures the demand of clients for each service.
 //
 // # Usage
 //
-//	d.CountPlaced("lm", uncachedTokens); d.CountEnded("lm"); d.CountRefused("lm")
-//	demands := d.Demands()
+//	m.CountPlaced("lm", uncachedTokens); m.CountEnded("lm"); m.CountRefused("lm")
+//	demands := m.Demands()
 package demandmeter
 
 import (
@@ -14,23 +14,22 @@
 	"brasschute/internal/core/identifier"
 )
 
-// halfLife is the time in which an old rate loses half of its weight: long
-// against the pause between two requests of a daemon, short against the time
-// that a new endpoint takes to start.
+// halfLife is the half-life of the rates: long compared with the interval between two requests at a
+// daemon, short compared with the time that a new endpoint takes to start.
 const halfLife = 2 * time.Second
 
-// Demand is what is asked of a service now.
+// Demand is the current demand for a service.
 type Demand struct {
-	// Running counts the requests at endpoints.
+	// Running is the number of requests at endpoints.
 	Running int
-	// Rates are per second; tokens are prompt tokens that no engine was
-	// presumed to have cached.
+	// Requests, Tokens and Refused are per second. Tokens counts the prompt tokens that were not
+	// presumed to be cached at any engine.
 	Requests float64
 	Tokens   float64
 	Refused  float64
 }
 
-// Add sums demands.
+// Add adds the demand o to d.
 func (d *Demand) Add(o Demand) {
 	d.Running += o.Running
 	d.Requests += o.Requests
@@ -38,75 +37,74 @@
 	d.Refused += o.Refused
 }
 
-type measured struct {
+type rates struct {
 	Demand
 	at time.Time
 }
 
-// Meter measures. The zero value is ready; it is safe for concurrent use.
+// Meter measures demand. The zero value is ready to use; it is safe for concurrent use.
 type Meter struct {
-	mu sync.Mutex
-	by map[identifier.Service]*measured
+	mu        sync.Mutex
+	byService map[identifier.Service]*rates
 }
 
-func (d *Meter) get(s identifier.Service) *measured {
-	if d.by == nil {
-		d.by = make(map[identifier.Service]*measured)
+func (m *Meter) get(s identifier.Service) *rates {
+	if m.byService == nil {
+		m.byService = make(map[identifier.Service]*rates)
 	}
-	m := d.by[s]
-	if m == nil {
-		m = &measured{at: time.Now()}
-		d.by[s] = m
+	r := m.byService[s]
+	if r == nil {
+		r = &rates{at: time.Now()}
+		m.byService[s] = r
 	}
-	m.decay(time.Now())
-	return m
+	r.decay(time.Now())
+	return r
 }
 
-func (m *measured) decay(now time.Time) {
-	part := math.Exp2(-now.Sub(m.at).Seconds() / halfLife.Seconds())
-	m.Requests *= part
-	m.Tokens *= part
-	m.Refused *= part
-	m.at = now
+func (r *rates) decay(now time.Time) {
+	factor := math.Exp2(-now.Sub(r.at).Seconds() / halfLife.Seconds())
+	r.Requests *= factor
+	r.Tokens *= factor
+	r.Refused *= factor
+	r.at = now
 }
 
-// weight turns single events into a rate: the area under an event's decay is
-// then one.
+// weight converts single events into a rate: the integral of an event's decay is one.
 const weight = math.Ln2 / (float64(halfLife) / float64(time.Second))
 
-// CountPlaced counts a request that goes to an endpoint, with its uncached tokens.
-func (d *Meter) CountPlaced(s identifier.Service, tokens identifier.Tokens) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	m := d.get(s)
-	m.Running++
-	m.Requests += weight
-	m.Tokens += weight * float64(tokens)
+// CountPlaced counts a request that is sent to an endpoint, with its uncached tokens.
+func (m *Meter) CountPlaced(s identifier.Service, tokens identifier.Tokens) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	r := m.get(s)
+	r.Running++
+	r.Requests += weight
+	r.Tokens += weight * float64(tokens)
 }
 
 // CountEnded counts the end of a placed request.
-func (d *Meter) CountEnded(s identifier.Service) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.get(s).Running--
+func (m *Meter) CountEnded(s identifier.Service) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.get(s).Running--
 }
 
 // CountRefused counts a request that no endpoint could take.
-func (d *Meter) CountRefused(s identifier.Service) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.get(s).Refused += weight
+func (m *Meter) CountRefused(s identifier.Service) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.get(s).Refused += weight
 }
 
 // Demands returns the demand for each service.
-func (d *Meter) Demands() map[identifier.Service]Demand {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	out := make(map[identifier.Service]Demand, len(d.by))
+func (m *Meter) Demands() map[identifier.Service]Demand {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	out := make(map[identifier.Service]Demand, len(m.byService))
 	now := time.Now()
-	for s, m := range d.by {
-		m.decay(now)
-		out[s] = m.Demand
+	for s, r := range m.byService {
+		r.decay(now)
+		out[s] = r.Demand
 	}
 	return out
 }
