--- a/internal/route/budgeter/budgeter.go
+++ b/internal/route/budgeter/budgeter.go
@@ -1,37 +1,37 @@
-// Package budgeter bounds retries to a share of the requests.
+// Package budgeter implements a retry budget: it bounds retries to a fraction of the requests.
 //
-// # Why
+// # Purpose
 //
-// When many endpoints fail at once, retries multiply the load on those that
-// are left. A [Budgeter] earns a fraction of a retry with each request, up to
-// a reserve, so that retries stay a set share of the traffic whatever fails.
+// When many endpoints fail at once, retries multiply the load on those that are left. A [Budgeter]
+// earns a fraction of a retry with each request, up to a reserve, so that retries stay a fixed
+// fraction of the traffic whatever fails.
 //
 // # Usage
 //
-//	b.Earn()          // once a request
+//	b.Earn() // once per request
 //	if b.Spend() { retry }
 package budgeter
 
 import "sync"
 
 const (
-	defaultShare   = 0.2
+	defaultRatio   = 0.2
 	defaultReserve = 50
 )
 
-// Config sets the bound.
+// Config sets the budget.
 type Config struct {
-	// Ratio is the part of a retry that a request earns; 0.2 if zero.
+	// Ratio is the number of retries that one request earns; 0.2 if zero.
 	Ratio float64
-	// Reserve is how many retries may be saved up; 50 if zero.
+	// Reserve is the number of retries that may be saved up; 50 if zero.
 	Reserve float64
 }
 
-// Budgeter counts retries that may be made. The zero value is empty; New
-// starts with a full reserve.
+// Budgeter is a retry budget. The zero value is empty and stays so; New starts with a full reserve.
+// It is safe for concurrent use.
 type Budgeter struct {
 	mu      sync.Mutex
-	share   float64
+	ratio   float64
 	reserve float64
 	tokens  float64
 }
@@ -39,22 +39,22 @@
 // New returns a budgeter with a full reserve.
 func New(c Config) *Budgeter {
 	if c.Ratio == 0 {
-		c.Ratio = defaultShare
+		c.Ratio = defaultRatio
 	}
 	if c.Reserve == 0 {
 		c.Reserve = defaultReserve
 	}
-	return &Budgeter{share: c.Ratio, reserve: c.Reserve, tokens: c.Reserve}
+	return &Budgeter{ratio: c.Ratio, reserve: c.Reserve, tokens: c.Reserve}
 }
 
 // Earn credits one request.
 func (b *Budgeter) Earn() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.tokens+b.share, b.reserve)
+	b.tokens = min(b.tokens+b.ratio, b.reserve)
 }
 
-// Spend takes one retry; false means that there is none left.
+// Spend takes one retry from the budget, and reports whether there was one left.
 func (b *Budgeter) Spend() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
