--- a/internal/route/poller/poller.go
+++ b/internal/route/poller/poller.go
@@ -1,11 +1,11 @@
-// Package poller observes the load of endpoints.
+// Package poller polls the load of endpoints.
 //
-// # Shared observing
+// # Shared polling
 //
-// All daemons of a zone polling all endpoints of the zone would cost each of
-// them traffic that grows with the fleet. Instead each endpoint has one
-// observer, chosen by rendezvous hashing over the zone's living daemons, and
-// the observers pass their reports on through package exchanger.
+// If all daemons of a zone polled all endpoints of the zone, the traffic of each endpoint would
+// grow with the fleet. Instead each endpoint has one observer, chosen by rendezvous hashing over
+// the live daemons of the zone, and the observers distribute their reports through package
+// gossiper.
 //
 // # Usage
 //
@@ -31,16 +31,16 @@
 
 const (
 	defaultPeriod = time.Second
-	// parallel bounds the polls under way at once.
-	parallel = 16
+	// maxConcurrent bounds the polls in flight.
+	maxConcurrent = 16
 )
 
-// Config names the poller's collaborators.
+// Config holds the poller's dependencies.
 type Config struct {
 	Registry *registry.Registry
 	Ledger   *membertracker.Tracker
 	Caller   *caller.Caller
-	// OnReport is given each report, to pass it on.
+	// OnReport is called with each report and the time of its poll, to distribute it.
 	OnReport func(r *report.Report, taken time.Time)
 	Period   time.Duration
 }
@@ -50,30 +50,30 @@
 	c Config
 
 	mu sync.Mutex
-	// events are the numbers up to which cache events have been read.
-	events map[identifier.Endpoint]uint64
+	// nextEvents are the numbers up to which cache events have been read.
+	nextEvents map[identifier.Endpoint]uint64
 }
 
-// New returns a poller.
+// New returns a poller. A Period of zero means one second.
 func New(c Config) *Poller {
 	if c.Period == 0 {
 		c.Period = defaultPeriod
 	}
-	return &Poller{c: c, events: make(map[identifier.Endpoint]uint64)}
+	return &Poller{c: c, nextEvents: make(map[identifier.Endpoint]uint64)}
 }
 
 // Serve polls until ctx ends.
 func (p *Poller) Serve(ctx context.Context) error {
-	return waiter.Every(ctx, p.c.Period, p.round)
+	return waiter.Every(ctx, p.c.Period, p.pollAll)
 }
 
-func (p *Poller) round(ctx context.Context) {
-	slots := make(chan struct{}, parallel)
+func (p *Poller) pollAll(ctx context.Context) {
+	slots := make(chan struct{}, maxConcurrent)
 	var group sync.WaitGroup
 	endpoints := p.c.Registry.Endpoints()
 	observers := p.observers()
 	for i := range endpoints {
-		if !p.mine(&endpoints[i], observers) {
+		if !p.observes(&endpoints[i], observers) {
 			continue
 		}
 		slots <- struct{}{}
@@ -94,15 +94,15 @@
 	p.c.Registry.ApplyReport(r, taken)
 	p.c.OnReport(r, taken)
 	if r.Model != "" {
-		p.cache(ctx, c)
+		p.readCacheEvents(ctx, c)
 	}
 }
 
-// cache reads an engine's cache events. They stay with this daemon: to pass
-// them on would cost more than the hint is worth.
-func (p *Poller) cache(ctx context.Context, c *candidate.Candidate) {
+// readCacheEvents reads the cache events of an engine. They are used by this daemon only:
+// distributing them would cost more than these hints are worth.
+func (p *Poller) readCacheEvents(ctx context.Context, c *candidate.Candidate) {
 	p.mu.Lock()
-	after := p.events[c.Endpoint]
+	after := p.nextEvents[c.Endpoint]
 	p.mu.Unlock()
 	e, err := p.c.Caller.CacheEvents(ctx, c.Address, after)
 	if err != nil {
@@ -113,22 +113,22 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.events[c.Endpoint] = e.Next
-	p.forget()
+	p.nextEvents[c.Endpoint] = e.Next
+	p.prune()
 }
 
-// maxEndpoints bounds the memory of event numbers.
+// maxEndpoints bounds the size of the map of event numbers.
 const maxEndpoints = 4096
 
-// forget drops all numbers when there are too many, as of endpoints long gone;
-// the events are then read again. The caller holds the lock.
-func (p *Poller) forget() {
-	if len(p.events) > maxEndpoints {
-		clear(p.events)
+// prune drops all event numbers when there are too many, as those of endpoints long gone; the
+// events are then read again. The caller holds the lock.
+func (p *Poller) prune() {
+	if len(p.nextEvents) > maxEndpoints {
+		clear(p.nextEvents)
 	}
 }
 
-// observers are the zone's living daemons.
+// observers returns the live daemons of the zone, this one first.
 func (p *Poller) observers() []identifier.Host {
 	self := p.c.Ledger.Self()
 	out := []identifier.Host{identifier.Host(self.Host)}
@@ -140,15 +140,14 @@
 	return out
 }
 
-// mine tells whether this daemon, the first of the observers, observes an
-// endpoint.
-func (p *Poller) mine(c *candidate.Candidate, observers []identifier.Host) bool {
+// observes reports whether this daemon, the first of the observers, observes an endpoint.
+func (p *Poller) observes(c *candidate.Candidate, observers []identifier.Host) bool {
 	if string(c.AvailabilityZone) != p.c.Ledger.Self().AvailabilityZone {
 		return false
 	}
-	own := weight(observers[0], c.Endpoint)
+	self := weight(observers[0], c.Endpoint)
 	for _, other := range observers[1:] {
-		if weight(other, c.Endpoint) > own {
+		if weight(other, c.Endpoint) > self {
 			return false
 		}
 	}
