--- a/internal/route/limiter/limiter.go
+++ b/internal/route/limiter/limiter.go
@@ -1,25 +1,23 @@
-// Package limiter admits requests within the organisations' limits.
+// Package limiter admits requests within the organisations' concurrency limits.
 //
-// # Shares without messages
+// # Shares without coordination
 //
-// An organisation's limit counts over the whole fleet. Each zone has an equal
-// part of it, and each daemon an equal part of its zone's, by the number of
-// daemons alive there. So the sum over all zones stays within the limit plus
-// one request a daemon (parts round up), also when zones cannot see each
-// other: a zone divides its own part only.
+// An organisation's limit applies to the whole fleet. Each zone has an equal share of it, and each
+// daemon an equal share of its zone's, by the number of live daemons there. So the sum over all
+// zones exceeds the limit by at most one request per daemon (shares are rounded up), even when
+// zones cannot reach each other: a zone divides only its own share.
 //
 // # Order of the queue
 //
-// A request that finds its organisation or its pool at the limit waits. Of
-// those that could start, the most urgent priority goes first, within it the
-// organisation that uses the least of its limit, and then the oldest.
+// A request waits while its organisation or its pool is at the limit. Of the requests that could
+// start, the most urgent priority goes first, within it the organisation that uses the smallest
+// fraction of its limit, and then the oldest.
 //
-// # Refusing early
+// # Early refusal
 //
-// A request whose predicted wait exceeds its deadline, or that finds its
-// organisation's queue full, is refused at once and told when to come back.
-// The prediction is the number of requests ahead times the mean service time,
-// over the slots.
+// A request whose predicted wait exceeds its deadline, or that finds its organisation's queue full,
+// is refused at once with a retry delay. The prediction is the number of requests ahead times the
+// mean service time, divided by the number of slots.
 //
 // # Usage
 //
@@ -39,22 +37,23 @@
 const (
 	// smoothing is the weight of the newest service time in the mean.
 	smoothing = 0.1
-	// firstGuess stands for the service time before any is measured.
-	firstGuess = 500 * time.Millisecond
-	// leastRetry is the shortest pause told to a caller.
-	leastRetry = time.Second
+	// initialServiceTime is the service time assumed before any is measured.
+	initialServiceTime = 500 * time.Millisecond
+	// minRetryAfter is the shortest retry delay returned.
+	minRetryAfter = time.Second
 )
 
 // Ticket describes one request to the limiter.
 type Ticket struct {
 	Organisation identifier.Organisation
 	Pool         identifier.Pool
-	// Rank is the priority, 0 being the most urgent.
+	// Rank is the priority; 0 is the most urgent.
 	Rank int
-	// Limit and Queue are the organisation's at this daemon.
+	// Limit is the organisation's concurrency limit at this daemon, Queue the length of its queue
+	// there.
 	Limit int
 	Queue int
-	// Slots is how many requests the pool takes from this daemon.
+	// Slots is the number of concurrent requests that the pool takes from this daemon.
 	Slots int
 }
 
@@ -64,7 +63,7 @@
 	RetryAfter time.Duration
 }
 
-// Error states the reason and when to come back.
+// Error returns the reason and the retry delay.
 func (r *RefusedError) Error() string {
 	return fmt.Sprintf("%s; retry after %s", r.Reason, r.RetryAfter)
 }
@@ -72,35 +71,35 @@
 type waiter struct {
 	ticket *Ticket
 	ready  chan struct{}
-	// started is set under the lock when the waiter is let in.
+	// started is set under the lock when the waiter is admitted.
 	started bool
 }
 
 // Limiter admits requests. It is safe for concurrent use.
 type Limiter struct {
-	mu      sync.Mutex
-	byOrg   map[identifier.Organisation]int
-	byPool  map[identifier.Pool]int
-	service map[identifier.Pool]time.Duration
-	waiting []*waiter
+	mu          sync.Mutex
+	byOrg       map[identifier.Organisation]int
+	byPool      map[identifier.Pool]int
+	serviceTime map[identifier.Pool]time.Duration
+	waiting     []*waiter
 }
 
 // New returns a limiter with nothing in flight.
 func New() *Limiter {
 	return &Limiter{
-		byOrg:   make(map[identifier.Organisation]int),
-		byPool:  make(map[identifier.Pool]int),
-		service: make(map[identifier.Pool]time.Duration),
+		byOrg:       make(map[identifier.Organisation]int),
+		byPool:      make(map[identifier.Pool]int),
+		serviceTime: make(map[identifier.Pool]time.Duration),
 	}
 }
 
-// Share returns a daemon's part of a fleet-wide limit, at least 1.
+// Share returns a daemon's share of a fleet-wide limit, at least 1.
 func Share(limit, zones, daemons int) int {
 	whole := max(zones, 1) * max(daemons, 1)
 	return max((limit+whole-1)/whole, 1)
 }
 
-// InFlight counts the admitted requests.
+// InFlight returns the number of admitted requests that have not been released.
 func (l *Limiter) InFlight() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,8 +110,8 @@
 	return n
 }
 
-// Acquire waits for admission. The error is a *Refused or the context's. The
-// returned function must be called once, when the request is over.
+// Acquire waits for admission. The error is a *RefusedError or that of the context. The returned
+// function must be called when the request is over; further calls have no effect.
 func (l *Limiter) Acquire(ctx context.Context, t *Ticket) (release func(), err error) {
 	w, err := l.enter(ctx, t)
 	if err != nil {
@@ -126,7 +125,7 @@
 	}
 }
 
-// enter lets a request in or queues it.
+// enter admits a request or queues it.
 func (l *Limiter) enter(ctx context.Context, t *Ticket) (*waiter, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -136,46 +135,44 @@
 	if w.started {
 		return w, nil
 	}
-	if refused := l.hopeless(ctx, t); refused != nil {
+	if refused := l.refuse(ctx, t); refused != nil {
 		l.waiting = l.waiting[:len(l.waiting)-1]
 		return nil, refused
 	}
 	return w, nil
 }
 
-// hopeless refuses a request that should not wait. Its waiter is last in the
-// queue.
-func (l *Limiter) hopeless(ctx context.Context, t *Ticket) *RefusedError {
-	ahead, own := 0, 0
+// refuse returns an error if a request should not wait. Its waiter is the last one in the queue.
+func (l *Limiter) refuse(ctx context.Context, t *Ticket) *RefusedError {
+	ahead, ownWaiting := 0, 0
 	for _, w := range l.waiting[:len(l.waiting)-1] {
 		if w.ticket.Organisation == t.Organisation {
-			own++
+			ownWaiting++
 		}
 		if w.ticket.Pool == t.Pool && w.ticket.Rank <= t.Rank {
 			ahead++
 		}
 	}
-	wait := l.predict(t, max(ahead, own))
-	if own >= t.Queue {
-		return &RefusedError{"the organisation's queue is full", max(wait, leastRetry)}
+	wait := l.predict(t, max(ahead, ownWaiting))
+	if ownWaiting >= t.Queue {
+		return &RefusedError{"the organisation's queue is full", max(wait, minRetryAfter)}
 	}
 	if deadline, ok := ctx.Deadline(); ok && time.Now().Add(wait).After(deadline) {
-		return &RefusedError{"the deadline would pass in the queue", max(wait, leastRetry)}
+		return &RefusedError{"the deadline would pass in the queue", max(wait, minRetryAfter)}
 	}
 	return nil
 }
 
 func (l *Limiter) predict(t *Ticket, ahead int) time.Duration {
-	mean := l.service[t.Pool]
+	mean := l.serviceTime[t.Pool]
 	if mean == 0 {
-		mean = firstGuess
+		mean = initialServiceTime
 	}
 	slots := max(min(t.Slots, t.Limit), 1)
 	return mean * time.Duration(ahead+1) / time.Duration(slots)
 }
 
-// abandon takes a waiter out whose context ended; it may have been let in at
-// the same moment.
+// abandon removes a waiter whose context has ended; it may have been admitted at the same moment.
 func (l *Limiter) abandon(ctx context.Context, w *waiter) (func(), error) {
 	l.mu.Lock()
 	started := w.started
@@ -192,13 +189,12 @@
 	return nil, ctx.Err()
 }
 
-// dispatch lets in every waiter that fits, best first. The caller holds the
-// lock.
+// dispatch admits every waiter that fits, best first. The caller holds the lock.
 func (l *Limiter) dispatch() {
 	for {
 		best := -1
 		for i, w := range l.waiting {
-			if l.fits(w.ticket) && (best < 0 || l.before(w.ticket, l.waiting[best].ticket)) {
+			if l.fits(w.ticket) && (best < 0 || l.precedes(w.ticket, l.waiting[best].ticket)) {
 				best = i
 			}
 		}
@@ -218,7 +214,7 @@
 	return l.byOrg[t.Organisation] < t.Limit && l.byPool[t.Pool] < t.Slots
 }
 
-func (l *Limiter) before(a, b *Ticket) bool {
+func (l *Limiter) precedes(a, b *Ticket) bool {
 	if a.Rank != b.Rank {
 		return a.Rank < b.Rank
 	}
@@ -226,10 +222,10 @@
 }
 
 func (l *Limiter) releaser(t *Ticket) func() {
-	begun := time.Now()
+	startedAt := time.Now()
 	var once sync.Once
 	return func() {
-		once.Do(func() { l.release(t, time.Since(begun)) })
+		once.Do(func() { l.release(t, time.Since(startedAt)) })
 	}
 }
 
@@ -242,14 +238,14 @@
 	l.dispatch()
 }
 
-// measure moves a pool's mean service time; 0 is no measurement.
+// measure updates a pool's mean service time; took is 0 if there is no measurement.
 func (l *Limiter) measure(p identifier.Pool, took time.Duration) {
 	if took == 0 {
 		return
 	}
-	mean := l.service[p]
+	mean := l.serviceTime[p]
 	if mean == 0 {
 		mean = took
 	}
-	l.service[p] = mean + time.Duration(smoothing*float64(took-mean))
+	l.serviceTime[p] = mean + time.Duration(smoothing*float64(took-mean))
 }
