--- a/internal/route/selector/alternative.go
+++ b/internal/route/selector/alternative.go
@@ -6,7 +6,7 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Alternative is one endpoint with its predictions.
+// Alternative is one endpoint with the predictions made for it.
 type Alternative struct {
 	Endpoint   identifier.Endpoint
 	FirstToken time.Duration
@@ -15,62 +15,67 @@
 	InTarget   bool
 }
 
-// Excluded counts the endpoints that could not serve, by reason.
+// Excluded counts the endpoints that could not serve a request, by the first reason that applied.
 type Excluded struct {
-	Leaving  int
-	Ejected  int
-	Silent   int
-	Full     int
-	Zone     int
-	Model    int
-	Tried    int
-	Version  int
-	Limited  int
-	BackingOff  int
-	NotFound int
+	Leaving    int
+	Ejected    int
+	Silent     int
+	Full       int
+	Zone       int
+	Model      int
+	Tried      int
+	Version    int
+	Limited    int
+	BackingOff int
+	NotFound   int
 }
 
+// maxAlternatives limits the alternatives kept in a decision.
 const maxAlternatives = 3
 
-// Decision is what was chosen and why.
+// Decision is the result of [Select]: the chosen endpoint, its predictions and the best
+// alternatives.
 type Decision struct {
 	// Index is the position of the chosen candidate, or None.
 	Index int
-	// Chosen holds its predictions.
+	// Chosen holds the predictions for the chosen candidate.
 	Chosen Alternative
-	// Alternatives holds the best others, the first Others of them.
+	// Alternatives holds the best endpoints, the best one first; the chosen one may be among them.
+	// Only the first AlternativeCount elements are valid.
 	Alternatives     [maxAlternatives]Alternative
-	AlternativeCount   int
-	Excluded Excluded
+	AlternativeCount int
+	Excluded         Excluded
 }
 
-// Prediction is what a decision expects of one candidate, in seconds and
-// currency. Candidates that cannot serve have a negative FirstToken.
+// Prediction is the expected time to first token in seconds and the expected cost of serving the
+// request at one candidate, in units of the configured prices. FirstToken is negative for a
+// candidate that cannot serve.
 type Prediction struct {
 	FirstToken float64
 	Cost       float64
 }
 
-// unusable marks a prediction.
+// unusable is the FirstToken of a candidate that cannot serve.
 const unusable = -1
 
-// note keeps the best alternatives for the explanation.
-func (d *Decision) note(a Alternative) {
-	place := d.AlternativeCount
+// addAlternative inserts a into the sorted list of the best alternatives, if it is good enough.
+func (d *Decision) addAlternative(a Alternative) {
+	position := d.AlternativeCount
 	for i := range d.AlternativeCount {
 		if better(&a, &d.Alternatives[i]) {
-			place = i
+			position = i
 			break
 		}
 	}
-	if place >= maxAlternatives {
+	if position >= maxAlternatives {
 		return
 	}
-	copy(d.Alternatives[place+1:], d.Alternatives[place:maxAlternatives-1])
-	d.Alternatives[place] = a
+	copy(d.Alternatives[position+1:], d.Alternatives[position:maxAlternatives-1])
+	d.Alternatives[position] = a
 	d.AlternativeCount = min(d.AlternativeCount+1, maxAlternatives)
 }
 
+// better reports whether a is better than b: in target and cheaper, or else earlier.
 func better(a, b *Alternative) bool {
 	if a.InTarget != b.InTarget {
 		return a.InTarget
--- a/internal/route/selector/model.go
+++ b/internal/route/selector/model.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// lateFrom is the part of the target from which on a predicted first token
-	// may turn out late: predictions err by a factor of three in both
-	// directions (95 in 100, measured under load).
+	// lateFrom is the fraction of the target above which a predicted first token may turn out late:
+	// 95% of predictions are within a factor of three of the measured time under load, in either
+	// direction.
 	lateFrom = 0.25
-	// indifferent is the cost within which places count as equal, so that not
-	// all daemons choose the same one.
-	indifferent = 0.01
+	// costTolerance is the cost difference within which endpoints count as equal, so that not all
+	// daemons choose the same one.
+	costTolerance = 0.01
 )
 
-// late is the likelihood that a first token comes after the target.
-func (m *model) late(firstToken float64) float64 {
-	at := firstToken / m.target
+// lateness returns the estimated probability that the first token arrives after the target, given
+// the predicted time to first token in seconds.
+func (m *model) lateness(firstToken float64) float64 {
+	ratio := firstToken / m.target
 	switch {
-	case at <= lateFrom:
+	case ratio <= lateFrom:
 		return 0
-	case at >= 1:
-		return min(at, 2) / 2
+	case ratio >= 1:
+		return min(ratio, 2) / 2
 	}
-	at = (at - lateFrom) / (1 - lateFrom)
-	return at * at / 2
+	ratio = (ratio - lateFrom) / (1 - lateFrom)
+	return ratio * ratio / 2
 }
 
 // mix spreads the bits of a combined hash (the finalizer of SplitMix64).
@@ -38,6 +39,7 @@
 	return x ^ x>>31
 }
 
+// mostCached returns the largest number of prompt tokens that any candidate has cached.
 func mostCached(cached []identifier.Tokens) identifier.Tokens {
 	var most identifier.Tokens
 	for _, c := range cached {
@@ -46,7 +48,8 @@
 	return most
 }
 
-// cached returns the prompt tokens presumed to be cached at a candidate.
+// cached returns the prompt tokens presumed to be cached at candidate i. The home is presumed to
+// have cached what earlier turns sent.
 func (m *model) cached(cached []identifier.Tokens, i int) identifier.Tokens {
 	var tokens identifier.Tokens
 	if i < len(cached) {
@@ -58,22 +61,23 @@
 	return tokens
 }
 
-// HomePricePremium returns how much more a second of an endpoint may cost than of the
-// cheapest for it to be a home. Homes on few cheap endpoints share little
-// cache; on all endpoints they share much and cost more. What the recomputing
-// of a usual prompt counts for decides.
+// HomePricePremium returns by how much the price per second of an endpoint may exceed that of the
+// cheapest one for it to be the home of a conversation. Homes on a few cheap endpoints have little
+// cache between them; homes on all endpoints have more cache and cost more. The cost of recomputing
+// a typical prompt on the next turn sets the limit.
 func HomePricePremium(recomputeWeight float64) float64 {
 	const usualPrompt = 1 // in thousands of tokens
-	return recomputeWeight * usualPrompt * nextTurn
+	return recomputeWeight * usualPrompt * nextTurnProbability
 }
 
-// HomeIndex returns the endpoint where the turns of a conversation meet, or None.
+// HomeIndex returns the index of the home of a conversation with the given prefix hash, or None.
+// premium is the result of [HomePricePremium].
 func HomeIndex(prefix uint64, premium float64, candidates []candidate.Candidate) int {
-	return home(prefix, premium, candidates, &VersionFilter{})
+	return homeIndex(prefix, premium, candidates, &VersionFilter{})
 }
 
-// home is the same among the endpoints of some versions.
-func home(prefix uint64, premium float64, candidates []candidate.Candidate, v *VersionFilter) int {
+// homeIndex is HomeIndex restricted to the endpoints that v allows.
+func homeIndex(prefix uint64, premium float64, candidates []candidate.Candidate, v *VersionFilter) int {
 	if prefix == 0 {
 		return None
 	}
@@ -96,26 +100,26 @@
 	return best
 }
 
-// model holds what predictions share.
+// model holds the inputs that the predictions for all candidates share. Times are in seconds.
 type model struct {
-	q       *Query
-	best    identifier.Tokens
-	target  float64
-	perRead float64
-	writing float64
-	perLost float64
-	slots   float64
-	home    int
-	// away is the cost of serving a conversation away from home: the next turn
-	// will look for its cache there.
-	away float64
+	q                      *Query
+	bestCached             identifier.Tokens
+	target                 float64
+	prefillSecondsPerToken float64
+	decodeSeconds          float64
+	costPerRecomputedToken float64
+	slots                  float64
+	home                   int
+	// awayCost is the cost of serving a conversation away from its home: the next turn will look
+	// for its cache at the home.
+	awayCost float64
 }
 
 func newModel(q *Query, cached []identifier.Tokens) model {
 	const thousand = 1000
 	m := model{
-		q: q, best: mostCached(cached), target: q.Target.Seconds(), perRead: 1 / float64(max(q.PrefillRate, 1)),
-		writing: float64(q.OutputTokens) / float64(max(q.DecodeRate, 1)), perLost: q.RecomputeWeight / thousand,
+		q: q, bestCached: mostCached(cached), target: q.Target.Seconds(), prefillSecondsPerToken: 1 / float64(max(q.PrefillRate, 1)),
+		decodeSeconds: float64(q.OutputTokens) / float64(max(q.DecodeRate, 1)), costPerRecomputedToken: q.RecomputeWeight / thousand,
 	}
 	m.slots = float64(q.Slots)
 	if q.Target == 0 {
@@ -124,23 +128,23 @@
 	return m
 }
 
-// predict estimates the first token's time from the tokens ahead and the
-// request's own uncached ones, and the cost from the time that the engine is
-// busy and the tokens that it computes though another has them cached.
+// predict estimates the time to first token from the tokens ahead of the request and its own
+// uncached ones. It estimates the cost from the time that the engine is busy and from the tokens
+// that it computes although another engine has them cached.
 func (m *model) predict(c *candidate.Candidate, cached identifier.Tokens) Prediction {
 	uncached := m.q.PromptTokens - min(cached, m.q.PromptTokens)
-	slow := max(c.Slowdown, 1)
-	reading := float64(uncached) * m.perRead * (1 + BatchSlowdown*c.Streams)
-	p := Prediction{FirstToken: (c.TokensAhead*m.perRead + reading) * slow, Cost: c.PricePerSecond * (reading + m.writing) * slow}
+	slowdown := max(c.Slowdown, 1)
+	prefillSeconds := float64(uncached) * m.prefillSecondsPerToken * (1 + BatchSlowdown*c.Streams)
+	p := Prediction{FirstToken: (c.TokensAhead*m.prefillSecondsPerToken + prefillSeconds) * slowdown, Cost: c.PricePerSecond * (prefillSeconds + m.decodeSeconds) * slowdown}
 	if m.slots > 0 && c.Streams >= m.slots {
-		p.FirstToken += m.writing * (c.Streams - m.slots + 1) / m.slots
+		p.FirstToken += m.decodeSeconds * (c.Streams - m.slots + 1) / m.slots
 	}
 	if c.AvailabilityZone != m.q.Zone {
-		p.FirstToken += zoneSeconds
+		p.FirstToken += crossZoneSeconds
 		p.Cost += m.q.CrossZoneCost
 	}
-	if recomputed := m.best - cached; recomputed > 0 {
-		p.Cost += m.perLost * float64(recomputed)
+	if recomputed := m.bestCached - cached; recomputed > 0 {
+		p.Cost += m.costPerRecomputedToken * float64(recomputed)
 	}
 	return p
 }
@@ -152,7 +156,7 @@
 	}
 }
 
-// better is as the function of that name, before p is made an alternative.
+// better is the function better for a prediction that has not been converted to an Alternative yet.
 func (m *model) better(p Prediction, than *Alternative) bool {
 	inTarget := p.FirstToken <= m.target
 	if inTarget != than.InTarget {
--- a/internal/route/selector/selector.go
+++ b/internal/route/selector/selector.go
@@ -1,38 +1,35 @@
 // Package selector decides which endpoint serves a request.
 //
-// # The decision
+// For each endpoint that may serve a request, [Select] predicts the time to first token and the
+// cost. The cost is the host price for the predicted busy time plus the configured weight for
+// prompt tokens that this endpoint would recompute although another one has them cached. Among the
+// endpoints predicted to meet the target it chooses the cheapest one. If none is, it chooses the
+// one with the earliest predicted first token.
 //
-// For each endpoint that may serve, the selector predicts the time to the
-// first token and the cost: host price for the predicted busy time, plus the
-// configured weight for prompt tokens that another endpoint has cached and
-// this one would compute again. Among endpoints predicted to meet the target
-// it takes the cheapest, else the soonest.
+// # Avoiding herds
 //
-// # No herd
+// Several daemons that see the same outdated load report must not all choose the same endpoint.
+// Costs within [nearlyEqual] of the cheapest count as equal. Among equal endpoints a hash of
+// request and endpoint decides, which spreads different requests over different endpoints without
+// communication.
 //
-// Nine daemons that see the same old load report must not all pick the same
-// endpoint. Costs within [nearlyEqual] of the cheapest count as equal, and
-// among equals a hash of request and endpoint decides, which spreads
-// different requests over different endpoints without talking.
+// # Home endpoints
 //
-// # Homes
-//
-// A daemon knows only what it sent itself and the cache events that reached
-// it, yet the turns of a conversation come through any daemon. So each
-// conversation has a home: the endpoint, among the cheapest that may serve,
-// that wins a rendezvous hash of the conversation's prefix. All daemons find
-// the same home without talking, and presume that it has cached what earlier
-// turns sent. Leaving home costs the recomputing of that, by the configured
-// weight; a home that is predicted to miss the target is left all the same.
+// A daemon knows only what it sent itself and the cache events that reached it, but the turns of
+// one conversation may arrive at any daemon. Each conversation therefore has a home: the endpoint
+// that wins a rendezvous hash of the conversation's prefix among the cheapest endpoints that may
+// serve. All daemons find the same home without communication and presume that it has cached what
+// earlier turns sent. Serving the conversation elsewhere costs recomputing that prefix, by the
+// configured weight. A home that is predicted to miss the target by too much is not used.
 //
 // # Usage
 //
 //	d := selector.Select(&q, candidates, cached, scratch)
 //	if d.Index == selector.None { refuse }
 //
-// Select is a pure function of its arguments: the same core serves requests,
-// explains them, and runs under tests and experiments. The scratch only saves
-// allocating; its content on entry does not matter.
+// Select is a pure function of its arguments. The same code serves requests, explains decisions and
+// runs in tests and experiments. The scratch slice only saves allocations; its contents on entry do
+// not matter.
 package selector
 
 import (
@@ -48,63 +45,62 @@
 const None = -1
 
 const (
-	// zoneSeconds is added for an endpoint in another zone: the measured sizes
-	// of today put zones at about a millisecond one way.
-	zoneSeconds = 0.002
-	// nearlyEqual is the ratio under which two costs count as equal.
+	// zoneSeconds is added to the time to first token of an endpoint in another zone: the measured
+	// one-way delay between zones is about 1 ms.
+	crossZoneSeconds = 0.002
+	// nearlyEqual is the ratio up to which two costs, or two times to first token, count as equal.
 	nearlyEqual = 1.05
-	// nextTurn is the share of requests after which their conversation goes
-	// on.
-	nextTurn = 0.5
-	// homeTolerance is the ratio of predicted first tokens up to which a
-	// conversation may stay at home though another endpoint would be sooner.
+	// nextTurnProbability is the fraction of requests whose conversation has another turn.
+	nextTurnProbability = 0.5
+	// homeTolerance is the ratio by which the predicted time to first token at the home may exceed
+	// the target, or the earliest one, if leaving the home costs more than the request itself.
 	homeTolerance = 2
 )
 
-// BatchSlowdown is the share by which each running stream slows reading.
+// BatchSlowdown is the relative increase in prefill time caused by each running stream.
 const BatchSlowdown = 0.02
 
-// Query is what a decision needs to know besides the endpoints.
+// Query holds the inputs of a decision apart from the endpoints.
 type Query struct {
 	Now  time.Time
 	Seed uint64
-	// Prefix names what the request has in common with earlier turns of its
-	// conversation; 0 if not known.
+	// Prefix is a hash of the prompt prefix that the request shares with earlier turns of its
+	// conversation; 0 if unknown.
 	Prefix uint64
-	// Zone is the deciding daemon's; Zones, if not empty, are the only ones
-	// allowed.
+	// Zone is the zone of the deciding daemon. Zones, if not empty, lists the only zones allowed.
 	Zone  identifier.AvailabilityZone
 	Zones []identifier.AvailabilityZone
-	// Model must be loaded; empty for plain services.
+	// Model must be loaded at the endpoint; empty for plain services.
 	Model        string
 	PromptTokens identifier.Tokens
-	// PriorTokens are the prompt tokens that an earlier turn sent somewhere.
-	PriorTokens        identifier.Tokens
+	// PriorTokens is the number of prompt tokens that an earlier turn already sent to some
+	// endpoint.
+	PriorTokens  identifier.Tokens
 	OutputTokens identifier.Tokens
 	MaxInFlight  int
-	// Slots is how many streams an engine runs at once; 0 if not known.
-	Slots   int
+	// Slots is the number of streams that an engine runs at once; 0 if unknown. PrefillRate and
+	// DecodeRate are an engine's tokens per second. Target is the objective for the time to first
+	// token; 0 for none.
+	Slots       int
 	PrefillRate int
 	DecodeRate  int
-	Target  time.Duration
+	Target      time.Duration
 	// RecomputeWeight is the cost of a thousand recomputed tokens.
 	RecomputeWeight float64
-	// CrossZoneCost is the cost of carrying the request and its answer to another
-	// zone and back.
+	// CrossZoneCost is the cost of carrying the request to another zone and its answer back.
 	CrossZoneCost float64
-	// LateCost is what a first token after the target costs. Where it is set,
-	// the place with the lowest cost is taken, that of being late included;
-	// otherwise the target is met first, and cost decides among the rest.
+	// LateCost is the cost of a first token after the target. If it is set, the endpoint with the
+	// lowest cost is chosen, the expected cost of being late included. Otherwise the target is met
+	// first, and cost decides among the rest.
 	LateCost float64
 	// Tried lists endpoints that this request must not be sent to again.
 	Tried []identifier.Endpoint
-	// Versions are those that the request may go to.
+	// Versions restricts the endpoint versions that the request may go to.
 	Versions VersionFilter
 }
 
-// Select decides among candidates. cached holds, by position, the prompt
-// tokens known to be cached; it may be nil. scratch is used if it is long
-// enough.
+// Select chooses an endpoint among candidates. cached holds, by position, the prompt tokens known
+// to be cached; it may be nil. scratch is used if it is long enough.
 func Select(q *Query, candidates []candidate.Candidate, cached []identifier.Tokens, scratch []Prediction) Decision {
 	d := Decision{Index: None}
 	if len(scratch) < len(candidates) {
@@ -112,10 +108,10 @@
 	}
 	scratch = scratch[:len(candidates)]
 	m := newModel(q, cached)
-	m.home = home(q.Prefix, HomePricePremium(q.RecomputeWeight), candidates, &q.Versions)
+	m.home = homeIndex(q.Prefix, HomePricePremium(q.RecomputeWeight), candidates, &q.Versions)
 	if m.home != None {
-		m.best = max(m.best, q.PriorTokens)
-		m.away = m.perLost * float64(q.PromptTokens) * nextTurn
+		m.bestCached = max(m.bestCached, q.PriorTokens)
+		m.awayCost = m.costPerRecomputedToken * float64(q.PromptTokens) * nextTurnProbability
 	}
 	var least bounds
 	for i := range scratch {
@@ -126,12 +122,12 @@
 		}
 		p := m.predict(c, m.cached(cached, i))
 		if m.home != None && i != m.home {
-			p.Cost += m.away
+			p.Cost += m.awayCost
 		}
 		scratch[i] = p
 		least.add(p, m.target)
 		if d.AlternativeCount < maxAlternatives || m.better(p, &d.Alternatives[maxAlternatives-1]) {
-			d.note(m.alternative(c, p, m.cached(cached, i)))
+			d.addAlternative(m.alternative(c, p, m.cached(cached, i)))
 		}
 	}
 	if least.any {
@@ -141,17 +137,18 @@
 	return d
 }
 
-// bounds are the lowest cost in target and the soonest first token.
+// bounds holds the lowest cost among the candidates in target and the earliest first token of all
+// usable ones.
 type bounds struct {
 	any      bool
 	inTarget bool
 	cost     float64
-	soonest  float64
+	earliest float64
 }
 
 func (b *bounds) add(p Prediction, target float64) {
-	if !b.any || p.FirstToken < b.soonest {
-		b.soonest = p.FirstToken
+	if !b.any || p.FirstToken < b.earliest {
+		b.earliest = p.FirstToken
 	}
 	b.any = true
 	if p.FirstToken <= target && (!b.inTarget || p.Cost < b.cost) {
@@ -160,34 +157,35 @@
 	}
 }
 
-// eligible tells whether p is as good as the best, within the tolerance.
+// eligible reports whether p is as good as the best prediction, within the tolerance.
 func (b *bounds) eligible(p Prediction, target float64) bool {
 	if b.inTarget {
 		return p.FirstToken <= target && p.Cost <= b.cost*nearlyEqual
 	}
-	return p.FirstToken <= b.soonest*nearlyEqual
+	return p.FirstToken <= b.earliest*nearlyEqual
 }
 
-// homely tells whether p is good enough to stay at home: as good as any; or
-// not much later than the target, or the soonest, if what is lost by leaving
-// outweighs the price of the request. Predictions from old reports err to the
-// late side more often than not, and the caches lost by leaving are certain.
-func (m *model) homely(b *bounds, p Prediction) bool {
+// staysHome reports whether p, the prediction for the home, is good enough to serve the
+// conversation there. It is if p is as good as any other. It also is if p is not much later than
+// the target, or than the earliest endpoint, and the cost of leaving exceeds the cost of the
+// request. Predictions from old reports overestimate the delay more often than not, while the cache
+// lost by leaving is certain.
+func (m *model) staysHome(b *bounds, p Prediction) bool {
 	if b.eligible(p, m.target) {
 		return true
 	}
-	return m.away > p.Cost && p.FirstToken <= max(m.target, b.soonest)*homeTolerance
+	return m.awayCost > p.Cost && p.FirstToken <= max(m.target, b.earliest)*homeTolerance
 }
 
-// pick takes home, or, among the eligible, the one whose hash with the request's seed
-// is highest. Those of the own zone go first: a request that stays in its zone
-// is not exposed to a cut between zones.
+// pick chooses the home or, among the eligible candidates, the one with the highest hash of
+// endpoint and request. Candidates in the daemon's own zone come first: a request that stays in its
+// zone is not exposed to a partition between zones.
 func (d *Decision) pick(q *Query, candidates []candidate.Candidate, scratch []Prediction, m *model, b *bounds) {
 	if q.LateCost > 0 {
 		d.cheapest(q, candidates, scratch, m)
 		return
 	}
-	if m.home != None && scratch[m.home].FirstToken >= 0 && m.homely(b, scratch[m.home]) {
+	if m.home != None && scratch[m.home].FirstToken >= 0 && m.staysHome(b, scratch[m.home]) {
 		d.Index = m.home
 		return
 	}
@@ -196,33 +194,34 @@
 	if q.Prefix != 0 {
 		seed = q.Prefix
 	}
-	near := false
+	foundOwn := false
 	for i, p := range scratch {
 		if p.FirstToken < 0 || !b.eligible(p, m.target) {
 			continue
 		}
 		own := candidates[i].AvailabilityZone == q.Zone
-		if near && !own {
+		if foundOwn && !own {
 			continue
 		}
 		h := mix(seed ^ candidates[i].Hash)
-		if d.Index == None || own && !near || h > highest {
+		if d.Index == None || own && !foundOwn || h > highest {
 			highest = h
 			d.Index = i
 		}
-		near = near || own
+		foundOwn = foundOwn || own
 	}
 }
 
-// cheapest takes the lowest cost, that of being late included. Among places that
-// are as good, a hash decides.
+// cheapest chooses the candidate with the lowest cost, the expected cost of being late included. A
+// hash decides among candidates of nearly the same cost.
 func (d *Decision) cheapest(q *Query, candidates []candidate.Candidate, scratch []Prediction, m *model) {
 	least := math.MaxFloat64
 	for i := range scratch {
 		if scratch[i].FirstToken >= 0 {
-			late := m.late(scratch[i].FirstToken)
+			late := m.lateness(scratch[i].FirstToken)
 			if candidates[i].PeerBackingOff {
-				// It most likely turns this daemon away, too.
+				// An endpoint that turned away another daemon will most likely turn this one away,
+				// too.
 				late = 1
 			}
 			scratch[i].Cost += q.LateCost * late
@@ -231,7 +230,7 @@
 	}
 	var highest uint64
 	for i, p := range scratch {
-		if p.FirstToken < 0 || p.Cost > least+indifferent*max(q.LateCost, 1) {
+		if p.FirstToken < 0 || p.Cost > least+costTolerance*max(q.LateCost, 1) {
 			continue
 		}
 		if h := mix(q.Seed ^ candidates[i].Hash); d.Index == None || h > highest {
@@ -240,6 +239,7 @@
 	}
 }
 
+// usable reports whether c can serve the request. If not, it counts the reason in x.
 func usable(q *Query, c *candidate.Candidate, x *Excluded) bool {
 	switch {
 	case c.Leaving:
--- a/internal/route/selector/selector_test.go
+++ b/internal/route/selector/selector_test.go
@@ -38,9 +38,15 @@
 		count  func(*Excluded) int
 	}{
 		{"leaving", func(c *candidate.Candidate) { c.Leaving = true }, func(x *Excluded) int { return x.Leaving }},
-		{"ejected", func(c *candidate.Candidate) { c.EjectedUntil = now.Add(time.Second); c.Refresh(now, candidate.LoadParameters{}) }, func(x *Excluded) int { return x.Ejected }},
+		{"ejected", func(c *candidate.Candidate) {
+			c.EjectedUntil = now.Add(time.Second)
+			c.Refresh(now, candidate.LoadParameters{})
+		}, func(x *Excluded) int { return x.Ejected }},
 		{"full", func(c *candidate.Candidate) { c.InFlight = 8 }, func(x *Excluded) int { return x.Full }},
-		{"probed already", func(c *candidate.Candidate) { c.Failures, c.InFlight = 3, 1; c.Refresh(now, candidate.LoadParameters{}) }, func(x *Excluded) int { return x.Full }},
+		{"probed already", func(c *candidate.Candidate) {
+			c.Failures, c.InFlight = 3, 1
+			c.Refresh(now, candidate.LoadParameters{})
+		}, func(x *Excluded) int { return x.Full }},
 		{"zone", func(c *candidate.Candidate) { c.AvailabilityZone = "z9" }, func(x *Excluded) int { return x.Zone }},
 		{"model", func(c *candidate.Candidate) { c.Model, c.Reported = "other", true }, func(x *Excluded) int { return x.Model }},
 		{"nothing loaded yet", func(c *candidate.Candidate) { c.Model, c.Reported = "", true }, func(x *Excluded) int { return x.Model }},
@@ -55,18 +61,18 @@
 			q.Tried = []identifier.Endpoint{"gone"}
 			d := Select(q, list, nil, nil)
 			if d.Index == 1 || c.count(&d.Excluded) != 1 {
-				t.Errorf("%+v", d)
+				t.Errorf("candidate 1 is not excluded, or not counted once: %+v", d)
 			}
 			c.change(&list[0])
 			c.change(&list[2])
 			if d := Select(q, list, nil, nil); d.Index != None {
-				t.Errorf("chose %d of none", d.Index)
+				t.Errorf("chose %d, want None", d.Index)
 			}
 		})
 	}
 }
 
-func TestSelectWeighs(t *testing.T) {
+func TestSelectTradeOffs(t *testing.T) {
 	now := time.Now()
 	price := map[identifier.Endpoint]float64{"e0": 3, "e1": 1, "e2": 2}
 	cases := []struct {
@@ -76,7 +82,7 @@
 	}{
 		{"cheapest in target", func(*Query, []candidate.Candidate, []identifier.Tokens) {}, 1},
 		{"cheap but too slow", func(_ *Query, c []candidate.Candidate, _ []identifier.Tokens) { c[1].TokensAhead = 9000 }, 2},
-		{"none in target: soonest", func(_ *Query, c []candidate.Candidate, _ []identifier.Tokens) {
+		{"none in target: earliest", func(_ *Query, c []candidate.Candidate, _ []identifier.Tokens) {
 			c[0].TokensAhead, c[1].TokensAhead, c[2].TokensAhead = 9000, 20000, 30000
 		}, 0},
 		{"cached prefix outweighs price", func(q *Query, _ []candidate.Candidate, cached []identifier.Tokens) {
@@ -111,8 +117,8 @@
 }
 
 func TestSelectProperties(t *testing.T) {
-	// Whatever the view, the choice is usable, the same question gets the same
-	// answer, and the chosen is in target if any usable endpoint is.
+	// For random candidates, the chosen endpoint is usable, the same query gives the same decision,
+	// and the chosen endpoint is in target if any usable one is.
 	now := time.Now()
 	rapid.Check(t, func(rt *rapid.T) {
 		list := candidates(rapid.IntRange(0, 12).Draw(rt, "n"), now)
@@ -125,29 +131,28 @@
 		q.Seed = rapid.Uint64().Draw(rt, "seed")
 		d := Select(q, list, nil, nil)
 		if again := Select(q, list, nil, nil); again != d {
-			rt.Fatalf("%+v, then %+v", d, again)
+			rt.Fatalf("the same query gives %+v, then %+v", d, again)
 		}
 		if d.Index == None {
 			for i := range list {
 				if !list[i].Leaving && list[i].InFlight < 8 {
-					rt.Fatalf("endpoint %d was usable", i)
+					rt.Fatalf("no endpoint chosen, but endpoint %d is usable", i)
 				}
 			}
 			return
 		}
 		if c := &list[d.Index]; c.Leaving || c.InFlight >= 8 {
-			rt.Fatalf("chose %+v", c)
+			rt.Fatalf("chose an unusable endpoint: %+v", c)
 		}
 		if d.AlternativeCount > 0 && d.Alternatives[0].InTarget && !d.Chosen.InTarget {
-			rt.Fatalf("%+v", d)
+			rt.Fatalf("an alternative is in target, the chosen endpoint is not: %+v", d)
 		}
 	})
 }
 
-func TestSelectDoesNotHerd(t *testing.T) {
-	// Nine daemons see the same old report in which one of twelve equal
-	// endpoints looks idle by a hair. Their requests must spread, not meet
-	// there.
+func TestSelectAvoidsHerds(t *testing.T) {
+	// Nine daemons see the same old report, in which one of twelve equal endpoints looks slightly
+	// less loaded. If they all took the lowest cost, all their requests would go there.
 	now := time.Now()
 	list := candidates(12, now)
 	for i := range list {
@@ -184,10 +189,10 @@
 	}
 }
 
-// All requests of a popular prompt go to its home until the home is so busy that
-// they come too late there. Then reading the prompt once more elsewhere is cheaper
-// than a late answer; at a calm home it is not.
-func TestLateCostLeavesABusyHome(t *testing.T) {
+// All requests with a popular prefix go to its home until it is so busy that they would be late
+// there. Then recomputing the prompt elsewhere is cheaper than a late answer; with little load at
+// the home it is not. The test guards against staying at a home that would answer two seconds late.
+func TestLateCostLeavesBusyHome(t *testing.T) {
 	now := time.Now()
 	q := query(now)
 	q.Prefix, q.PriorTokens, q.PromptTokens, q.RecomputeWeight, q.LateCost, q.Target = 99, 13_000, 17_000, 0.027, 2.7, time.Second
@@ -200,18 +205,18 @@
 	for _, ahead := range []float64{0, 5_000} {
 		list[home].TokensAhead = ahead
 		if d := Select(q, list, nil, nil); d.Index != home {
-			t.Errorf("%.0f tokens ahead at home: went to %d", ahead, d.Index)
+			t.Errorf("%.0f tokens ahead at the home: chose %d", ahead, d.Index)
 		}
 	}
 	list[home].TokensAhead = 80_000
 	if d := Select(q, list, nil, nil); d.Index == home {
-		t.Error("stayed at a home that answers two seconds late")
+		t.Error("chose a home that answers two seconds late")
 	}
 }
 
-// Small prompts have no home. They stay in their zone, as the bytes between zones
-// cost more than reading a few hundred tokens twice, and spread over its engines.
-func TestZoneCostKeepsSmallPromptsAtHome(t *testing.T) {
+// Small prompts have no home. They stay in their zone and spread over its engines, because the
+// traffic between zones costs more than computing a few hundred tokens twice.
+func TestCrossZoneCostKeepsSmallPromptsInZone(t *testing.T) {
 	now := time.Now()
 	q := query(now)
 	q.LateCost, q.CrossZoneCost, q.RecomputeWeight, q.Target, q.PrefillRate = 0.3, 0.012, 0.027, time.Second, 40_000
@@ -227,7 +232,7 @@
 		q.Seed = seed
 		d := Select(q, list, nil, nil)
 		if list[d.Index].AvailabilityZone != q.Zone {
-			t.Fatalf("seed %d left its zone", seed)
+			t.Fatalf("seed %d: chose an endpoint in another zone", seed)
 		}
 		seen[d.Index]++
 	}
--- a/internal/route/selector/versions.go
+++ b/internal/route/selector/versions.go
@@ -7,22 +7,24 @@
 	"brasschute/internal/route/candidate"
 )
 
-// VersionFilter are those of a pool's endpoints that a request may go to; the zero value allows
-// all.
+// VersionFilter selects the endpoint versions of a pool that a request may go to. The zero value
+// allows all versions.
 type VersionFilter struct {
-	// Only, if not empty, is the one version allowed; Few, if not 0, is the number of its
-	// endpoints that are used.
-	Only identifier.Version
-	MaxEndpoints  int
+	// Only, if not empty, is the one version allowed. MaxEndpoints, if not 0, limits how many
+	// endpoints of that version are used.
+	Only         identifier.Version
+	MaxEndpoints int
 	// Except lists versions that are not allowed.
 	Except []identifier.Version
-	// AllowFallback: the request tries a version, and may go to the others if it can't.
+	// AllowFallback is set if the request may go to other versions when no endpoint of Only can
+	// serve.
 	AllowFallback bool
-	// MajorityOnly: only the version of most endpoints is allowed; the registry knows which.
+	// MajorityOnly allows only the version that most endpoints of the pool run; the registry sets
+	// Only accordingly.
 	MajorityOnly bool
 }
 
-// Allow tells whether an endpoint may be used.
+// Allow reports whether the request may go to c.
 func (v *VersionFilter) Allow(c *candidate.Candidate) bool {
 	switch {
 	case v.Only != "":
