--- a/internal/route/candidate/candidate.go
+++ b/internal/route/candidate/candidate.go
@@ -1,15 +1,16 @@
-// Package candidate holds what a daemon knows of one endpoint.
+// Package candidate holds the state of an endpoint that routing decisions read.
 //
-// # Two kinds of knowledge
-//
-// What the daemon did itself (InFlight, Sent) is exact and new. What the
-// endpoint reports (Running, QueuedTokens) is complete but old. A decision
-// needs both: the report, plus what was sent since it was taken.
+// A daemon knows its own requests (InFlight, [Candidate.RecordSent]) exactly and without delay. The
+// load reports of an endpoint (Running, QueuedTokens) cover all daemons but are old when they
+// arrive. A decision needs both: the last report plus what was sent after it was taken.
 //
 // # Usage
 //
-// Candidates are plain values in slices, so that a decision over a thousand of
-// them walks memory in order and allocates nothing.
+// Candidates are plain values in slices, so that a decision over a thousand of them reads memory in
+// order and allocates nothing.
+//
+//	c.RecordSent(now, uncachedTokens)
+//	c.Refresh(now, parameters) // before the next decision
 package candidate
 
 import (
@@ -20,44 +21,42 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Candidate is one endpoint as a decision sees it. The fields that each
-// decision reads of every candidate come first, so that they share few cache
-// lines.
+// Candidate is the state of one endpoint. The fields that each decision reads for every candidate
+// come first, so that they share few cache lines.
 type Candidate struct {
-	// Leaving: no new work. Out: ejected, or not yet probed back; see
-	// EjectedUntil.
-	Leaving bool
-	Unavailable     bool
-	// Silent: its streams, or those of its whole zone, have brought nothing lately.
+	// Leaving: the endpoint gets no new requests. Unavailable: it is ejected (see EjectedUntil) or
+	// silent.
+	Leaving     bool
+	Unavailable bool
+	// Silent: the endpoint's streams, or all streams of its zone, have delivered no event lately.
 	Silent bool
-	// BackingOff: it wants nothing from this daemon now; see RestsUntil.
+	// BackingOff: the endpoint asked this daemon to pause; see BackoffUntil.
 	BackingOff bool
-	// PeerBackingOff: it wants rest from other daemons; see SparedUntil.
+	// PeerBackingOff: the endpoint asked other daemons to pause; see PeerBackoffUntil.
 	PeerBackingOff bool
-	// Limited: it has said how much it takes, and takes nothing more from this daemon now.
+	// Limited: the endpoint stated a rate limit, and this daemon's share of it is used up for now.
 	Limited bool
-	// OnProbation: failed last, and gets one request at a time.
+	// OnProbation: the last request failed; the endpoint gets one request at a time.
 	OnProbation bool
-	// Reported: there has been a report in this life of the host; without one
-	// the model is not known.
+	// Reported: a load report has arrived in this incarnation of the host. Without one the loaded
+	// model is unknown.
 	Reported bool
-	// ReportFresh: the report is young enough to be believed.
+	// ReportFresh: the last report is recent enough to be used.
 	ReportFresh bool
 	// InFlight counts this daemon's requests.
 	InFlight int32
-	// TokensAhead estimates the prompt tokens that the endpoint reads before a new
-	// request's, Streams the streams that it runs: see Refresh.
-	TokensAhead   float64
-	Streams float64
-	// PrefillUtilisation is the part of its reading time that the endpoint is taken to spend
-	// on all daemons' prompts, where that is known: see Others.
+	// TokensAhead estimates the prompt tokens that the endpoint computes before those of a new
+	// request. Streams estimates the streams that it runs. See Refresh.
+	TokensAhead float64
+	Streams     float64
+	// PrefillUtilisation is the estimated fraction of prefill time that the prompts of all daemons
+	// take up. It is set if the load of the other daemons is known; see SentLoad.
 	PrefillUtilisation float64
-	// Slowdown is how many times longer than predicted first tokens took of late;
-	// 0 counts as 1.
+	// Slowdown is the recent ratio of measured to predicted times to first token; 0 counts as 1.
 	Slowdown float64
-	// PricePerSecond is that of the host.
+	// PricePerSecond is the price of the host.
 	PricePerSecond float64
-	// Hash is that of the endpoint's name, to break ties by.
+	// Hash is a hash of the endpoint's name and incarnation. It breaks ties.
 	Hash             uint64
 	AvailabilityZone identifier.AvailabilityZone
 	Model            string
@@ -65,95 +64,97 @@
 	Endpoint    identifier.Endpoint
 	Host        identifier.Host
 	Incarnation identifier.Incarnation
-	// Born tells the life to other daemons.
+	// Born identifies the incarnation to other daemons.
 	Born    identifier.StartTime
 	Pool    identifier.Pool
 	Class   document.Class
 	Address string
-	// Version is that of its software. VersionRank is its place among those of the version,
-	// the same at all daemons.
+	// Version is the version of the endpoint's software. VersionRank is its rank among the
+	// endpoints of that version, the same at all daemons.
 	Version     identifier.Version
 	VersionRank int32
-	// WarmAt is when it is not slow any more after its start.
+	// WarmAt is when the endpoint is no longer slow from its start.
 	WarmAt time.Time
 
-	// Deadline is when a leaving host goes; zero if not known.
+	// Deadline is when a leaving host ends; zero if unknown.
 	Deadline time.Time
-	// EjectedUntil is when an ejected endpoint may be probed; Failures counts
-	// failures without a success between them.
+	// EjectedUntil is when an ejected endpoint may be probed. Failures counts consecutive failures.
 	EjectedUntil time.Time
 	Failures     int
-	// BackoffUntil is when the endpoint takes requests again, as it said.
+	// BackoffUntil is when the endpoint takes requests of this daemon again, as it stated.
 	BackoffUntil time.Time
-	// PeerBackoffUntil is when it takes those of other daemons again, as they told.
+	// PeerBackoffUntil is when the endpoint takes requests of other daemons again, as they
+	// reported.
 	PeerBackoffUntil time.Time
 
-	// Running, Queued and QueuedTokens are as reported at Taken, by this
-	// daemon's clock; they say nothing once a report is stale.
+	// Running, Queued and QueuedTokens are the values reported at ReportedAt, by this daemon's
+	// clock. They are meaningless once the report is stale.
 	Running      int
 	Queued       int
 	QueuedTokens identifier.Tokens
-	ReportedAt        time.Time
-	// Activity is when it last said something.
+	ReportedAt   time.Time
+	// Activity tracks the events that the endpoint's streams deliver.
 	Activity *Activity
-	// observed is when Slow was last brought up to date.
-	observed time.Time
-	// sends are this daemon's requests since Taken, oldest first.
+	// observedAt is when Slowdown was last updated.
+	observedAt time.Time
+	// sends are this daemon's requests since ReportedAt, oldest first.
 	sends []send
-	// tokenRate and rate are the tokens and requests that this daemon sends in
-	// a second, over rateTime, as of rated.
-	tokenRate float64
-	rate      float64
-	rated     time.Time
-	// recent is the own token rate over recentTime, as of recently.
-	recent   float64
-	recently time.Time
-	// unread are the prompt tokens of this daemon's requests that have brought no event
-	// yet.
-	unread float64
-	// others is what the other daemons say they send here, if known.
-	others SentLoad
-	known  bool
+	// tokenRate and requestRate are the tokens and requests per second that this daemon sends,
+	// averaged over rateTime, as of ratedAt.
+	tokenRate   float64
+	requestRate float64
+	ratedAt     time.Time
+	// recentTokenRate is this daemon's token rate averaged over recentTime, as of recentAt.
+	recentTokenRate float64
+	recentAt        time.Time
+	// pendingPrefill is the number of prompt tokens of this daemon's requests that have delivered
+	// no event yet.
+	pendingPrefill float64
+	// peerLoad is what the other daemons report to send to this endpoint, if peerLoadKnown.
+	peerLoad      SentLoad
+	peerLoadKnown bool
 }
 
-// SentLoad is what the other daemons of the fleet send to one endpoint.
+// SentLoad is the load that one or several daemons send to an endpoint.
 type SentLoad struct {
-	// TokensPerSecond are uncached prompt tokens, Running requests, Unread the uncached
-	// prompt tokens of those that have brought no event yet.
+	// TokensPerSecond is the rate of uncached prompt tokens and Running the number of requests in
+	// flight. PendingPrefill is the number of uncached prompt tokens of those requests that have
+	// delivered no event yet.
 	TokensPerSecond float64
 	Running         int
-	PendingPrefill          float64
+	PendingPrefill  float64
 }
 
+// send is one request of this daemon with its uncached prompt tokens.
 type send struct {
 	at     time.Time
 	tokens identifier.Tokens
 }
 
 const (
-	// maxSends bounds the requests that are remembered one by one.
+	// maxSends limits the requests that are remembered individually.
 	maxSends = 256
-	// promptGuess stands for the prompt of a queued request of unknown size.
-	promptGuess = 256
-	// rateTime is the time over which rates are averaged.
+	// assumedPromptTokens is the assumed prompt size of a queued request of unknown size.
+	assumedPromptTokens = 256
+	// rateTime is the time constant over which rates are averaged.
 	rateTime = 10 * time.Second
-	// recentTime is the time over which the rate is averaged that daemons tell
-	// each other: twice the period of their news.
+	// recentTime is the time constant of the rate that daemons share with each other: twice the
+	// period of their digests.
 	recentTime = 2 * time.Second
-	// mostBusy keeps the predicted wait finite.
-	mostBusy = 0.95
+	// maxUtilisation keeps the predicted wait finite.
+	maxUtilisation = 0.95
 )
 
-// LoadParameters is what the estimates need to know besides the candidate.
+// LoadParameters holds the inputs of the load estimate that are not part of the candidate.
 type LoadParameters struct {
-	// PrefillRate is the number of prompt tokens that an endpoint reads in a second,
-	// Writing the seconds that a stream lasts.
+	// PrefillRate is the number of prompt tokens that an endpoint computes per second.
+	// StreamSeconds is the duration of a stream in seconds.
 	PrefillRate   float64
 	StreamSeconds float64
-	// MeanUncachedTokens is the uncached part of a usual prompt, in tokens: what a new one waits for
-	// when it finds the endpoint reading.
+	// MeanUncachedTokens is the mean number of uncached tokens of a prompt. It is what a new
+	// request waits for if it finds the endpoint busy with a prompt.
 	MeanUncachedTokens float64
-	// OtherDaemons counts the other daemons.
+	// OtherDaemons is the number of other daemons.
 	OtherDaemons float64
 }
 
@@ -163,74 +164,76 @@
 		c.sends = append(c.sends[:0], c.sends[1:]...)
 	}
 	c.sends = append(c.sends, send{at, tokens})
-	c.decay(at)
+	c.decayRates(at)
 	c.tokenRate += float64(tokens) / rateTime.Seconds()
-	c.rate += 1 / rateTime.Seconds()
+	c.requestRate += 1 / rateTime.Seconds()
 	c.TokensAhead += float64(tokens)
-	c.unread += float64(tokens)
+	c.pendingPrefill += float64(tokens)
 	c.Streams++
 	c.RecentTokenRate(at)
-	c.recent += float64(tokens) / recentTime.Seconds()
+	c.recentTokenRate += float64(tokens) / recentTime.Seconds()
 }
 
-// UndoSent takes back a request that was counted as sent and is not.
+// UndoSent takes back a request that was counted by RecordSent but not sent.
 func (c *Candidate) UndoSent(tokens identifier.Tokens) {
-	c.recent = max(c.recent-float64(tokens)/recentTime.Seconds(), 0)
+	c.recentTokenRate = max(c.recentTokenRate-float64(tokens)/recentTime.Seconds(), 0)
 	c.tokenRate = max(c.tokenRate-float64(tokens)/rateTime.Seconds(), 0)
-	c.rate = max(c.rate-1/rateTime.Seconds(), 0)
+	c.requestRate = max(c.requestRate-1/rateTime.Seconds(), 0)
 	if n := len(c.sends); n > 0 {
 		c.sends = c.sends[:n-1]
 	}
 }
 
-// RecentTokenRate returns the uncached prompt tokens that this daemon sends here in a
-// second, of late.
+// RecentTokenRate returns the uncached prompt tokens per second that this daemon has sent lately.
 func (c *Candidate) RecentTokenRate(now time.Time) float64 {
-	c.recent *= math.Exp(-now.Sub(c.recently).Seconds() / recentTime.Seconds())
-	c.recently = now
-	return c.recent
+	c.recentTokenRate *= math.Exp(-now.Sub(c.recentAt).Seconds() / recentTime.Seconds())
+	c.recentAt = now
+	return c.recentTokenRate
 }
 
-// SetPeerLoad takes in what the other daemons send here. From then on their load is
-// no longer guessed from the own.
-func (c *Candidate) SetPeerLoad(o SentLoad) { c.others, c.known = o, true }
+// SetPeerLoad sets the load sent by the other daemons. From then on it is no longer extrapolated
+// from this daemon's own load.
+func (c *Candidate) SetPeerLoad(l SentLoad) { c.peerLoad, c.peerLoadKnown = l, true }
 
-// fleet estimates the load from what all daemons say they send: the wait of a
-// queue that is served at the endpoint's pace.
-func (c *Candidate) fleet(now time.Time, p LoadParameters) {
-	rate := c.others.TokensPerSecond + c.RecentTokenRate(now)
-	c.PrefillUtilisation = min(rate*max(c.Slowdown, 1)/max(p.PrefillRate, 1), mostBusy)
-	c.TokensAhead = max(p.MeanUncachedTokens*c.PrefillUtilisation/(1-c.PrefillUtilisation), c.others.PendingPrefill) + c.PendingPrefill()
-	c.Streams = float64(c.others.Running) + float64(c.InFlight)
+// estimateFromFleet estimates the load from what all daemons report to send: the wait in a queue
+// that is served at the endpoint's prefill rate.
+func (c *Candidate) estimateFromFleet(now time.Time, p LoadParameters) {
+	rate := c.peerLoad.TokensPerSecond + c.RecentTokenRate(now)
+	c.PrefillUtilisation = min(rate*max(c.Slowdown, 1)/max(p.PrefillRate, 1), maxUtilisation)
+	c.TokensAhead = max(p.MeanUncachedTokens*c.PrefillUtilisation/(1-c.PrefillUtilisation), c.peerLoad.PendingPrefill) + c.PendingPrefill()
+	c.Streams = float64(c.peerLoad.Running) + float64(c.InFlight)
 }
 
-// PrefillDone takes off a request's prompt tokens: it has brought its first event, or ended.
+// PrefillDone removes the prompt tokens of a request that has delivered its first event or has
+// ended.
 //
-// What is not yet read is the queue as it is. A prompt of fifty thousand tokens takes an
-// engine half a second, and as part of a rate alone it was forgotten after a twentieth
-// of one; and where engines are overloaded, rates say nothing of how long the queue is.
-func (c *Candidate) PrefillDone(tokens identifier.Tokens) { c.unread -= float64(tokens) }
+// The pending tokens are the actual length of the queue. A prompt of 50,000 tokens keeps an engine
+// busy for half a second; counted only as part of a rate, it is forgotten after a twentieth of a
+// second. When engines are overloaded, rates say nothing about the length of the queue.
+func (c *Candidate) PrefillDone(tokens identifier.Tokens) { c.pendingPrefill -= float64(tokens) }
 
-// PendingPrefill returns the prompt tokens of this daemon's requests that have brought no event.
-func (c *Candidate) PendingPrefill() float64 { return max(c.unread, 0) }
+// PendingPrefill returns the number of prompt tokens of this daemon's requests that have delivered
+// no event yet.
+func (c *Candidate) PendingPrefill() float64 { return max(c.pendingPrefill, 0) }
 
-func (c *Candidate) decay(now time.Time) {
-	part := math.Exp(-now.Sub(c.rated).Seconds() / rateTime.Seconds())
-	c.tokenRate *= part
-	c.rate *= part
-	c.rated = now
+// decayRates applies the exponential decay of the rates up to now.
+func (c *Candidate) decayRates(now time.Time) {
+	factor := math.Exp(-now.Sub(c.ratedAt).Seconds() / rateTime.Seconds())
+	c.tokenRate *= factor
+	c.requestRate *= factor
+	c.ratedAt = now
 }
 
-// estimate carries an old report forward to now. What this daemon sent since
-// is known one by one; a report arrives late, so what was sent while it was on
-// its way is not in it. The other daemons are taken to send what this one
-// sends on average: to multiply its single requests would turn each into a
-// crowd. In between the endpoint reads at its pace.
-func (c *Candidate) estimate(now time.Time, p LoadParameters) {
+// estimateFromReport extrapolates the last report to now. The requests that this daemon sent since
+// are known individually. A report arrives late, so it does not include what was sent while it was
+// in transit. The other daemons are assumed to send on average what this one sends. Multiplying its
+// individual requests instead would turn each of them into a burst. Between requests the endpoint
+// computes at its prefill rate.
+func (c *Candidate) estimateFromReport(now time.Time, p LoadParameters) {
 	from := c.ReportedAt
 	backlog := float64(c.QueuedTokens)
 	if backlog == 0 {
-		backlog = float64(c.Queued * promptGuess)
+		backlog = float64(c.Queued * assumedPromptTokens)
 	}
 	if !c.ReportFresh {
 		from, backlog = now.Add(-staleAfter), 0
@@ -240,83 +243,85 @@
 		n++
 	}
 	c.sends = append(c.sends[:0], c.sends[n:]...)
-	c.decay(now)
-	net := p.PrefillRate/max(c.Slowdown, 1) - p.OtherDaemons*c.tokenRate
+	c.decayRates(now)
+	netRate := p.PrefillRate/max(c.Slowdown, 1) - p.OtherDaemons*c.tokenRate
 	last := from
 	for i := range c.sends {
-		backlog = max(backlog-net*c.sends[i].at.Sub(last).Seconds(), 0) + float64(c.sends[i].tokens)
+		backlog = max(backlog-netRate*c.sends[i].at.Sub(last).Seconds(), 0) + float64(c.sends[i].tokens)
 		last = c.sends[i].at
 	}
-	c.TokensAhead = max(backlog-net*now.Sub(last).Seconds(), 0)
-	c.Streams = c.streams(now, p)
+	c.TokensAhead = max(backlog-netRate*now.Sub(last).Seconds(), 0)
+	c.Streams = c.estimateStreams(now, p)
 }
 
-func (c *Candidate) streams(now time.Time, p LoadParameters) float64 {
+// estimateStreams estimates the streams running at the endpoint: those of the last report that have
+// not ended since, plus those that all daemons have sent since.
+func (c *Candidate) estimateStreams(now time.Time, p LoadParameters) float64 {
 	own := float64(c.InFlight)
 	if !c.ReportFresh {
 		return own * (1 + p.OtherDaemons)
 	}
 	age := now.Sub(c.ReportedAt).Seconds()
-	left := 1.0
+	remaining := 1.0
 	if p.StreamSeconds > 0 {
-		left = max(1-age/p.StreamSeconds, 0)
+		remaining = max(1-age/p.StreamSeconds, 0)
 	}
-	came := float64(len(c.sends)) + p.OtherDaemons*c.rate*min(age, max(p.StreamSeconds, 1))
-	return max(float64(c.Running+c.Queued)*left+came, own)
+	arrived := float64(len(c.sends)) + p.OtherDaemons*c.requestRate*min(age, max(p.StreamSeconds, 1))
+	return max(float64(c.Running+c.Queued)*remaining+arrived, own)
 }
 
-// staleAfter is the age at which a report says nothing any more.
+// staleAfter is the age from which on a report is not used.
 const staleAfter = 10 * time.Second
 
 const (
-	// slower and faster are the weights of the newest observation in Slow. A
-	// single late token has many causes, a single early one only a healthy
-	// endpoint.
-	slower   = 0.1
-	faster   = 0.4
-	slowMost = 20
-	// slowHalf is the time in which an unused endpoint loses half of its bad
-	// name: without it a slow endpoint would never be tried again.
-	slowHalf = 20 * time.Second
+	// slowerWeight and fasterWeight are the weights of the newest observation in Slowdown. A single
+	// late token has many causes; a single early one comes only from a healthy endpoint.
+	slowerWeight = 0.1
+	fasterWeight = 0.4
+	maxSlowdown  = 20
+	// slowdownHalfLife is the time in which the excess slowdown of an unused endpoint halves.
+	// Without this decay a slow endpoint would never be tried again.
+	slowdownHalfLife = 20 * time.Second
 )
 
-// ObserveFirstToken takes in how long a first token took against its prediction.
+// ObserveFirstToken updates Slowdown with a measured and a predicted time to first token.
 func (c *Candidate) ObserveFirstToken(took, predicted time.Duration, now time.Time) {
-	const least = 50 * time.Millisecond
-	ratio := min(float64(took+least)/float64(predicted+least), slowMost)
-	slow := max(c.Slowdown, 1)
-	weight := faster
-	if ratio > slow {
-		weight = slower
+	// margin limits the weight of the noise in very short times.
+	const margin = 50 * time.Millisecond
+	ratio := min(float64(took+margin)/float64(predicted+margin), maxSlowdown)
+	slowdown := max(c.Slowdown, 1)
+	weight := fasterWeight
+	if ratio > slowdown {
+		weight = slowerWeight
 	}
-	c.Slowdown = max(slow+weight*(ratio-slow), 1)
-	c.observed = now
+	c.Slowdown = max(slowdown+weight*(ratio-slowdown), 1)
+	c.observedAt = now
 }
 
-func (c *Candidate) forgive(now time.Time) {
+// decaySlowdown reduces Slowdown by the time since its last update.
+func (c *Candidate) decaySlowdown(now time.Time) {
 	if c.Slowdown <= 1 {
 		return
 	}
-	c.Slowdown = 1 + (c.Slowdown-1)*math.Exp2(-now.Sub(c.observed).Seconds()/slowHalf.Seconds())
-	c.observed = now
+	c.Slowdown = 1 + (c.Slowdown-1)*math.Exp2(-now.Sub(c.observedAt).Seconds()/slowdownHalfLife.Seconds())
+	c.observedAt = now
 }
 
-// Refresh sets the fields that depend on the time. Decisions read them many
-// times between two changes, and comparing times for each would cost more
-// than all else.
+// Refresh updates the fields that depend on the time. Decisions read them many times between two
+// updates, and comparing times on each read would cost more than the rest of the decision.
 func (c *Candidate) Refresh(now time.Time, p LoadParameters) {
 	c.Unavailable = c.Ejected(now) || c.Silent
 	c.OnProbation = c.Failures > 0
 	c.BackingOff = now.Before(c.BackoffUntil)
 	c.PeerBackingOff = now.Before(c.PeerBackoffUntil)
 	c.ReportFresh = now.Sub(c.ReportedAt) <= staleAfter
-	c.forgive(now)
-	if c.known {
-		c.fleet(now, p)
+	c.decaySlowdown(now)
+	if c.peerLoadKnown {
+		c.estimateFromFleet(now, p)
 		return
 	}
-	c.estimate(now, p)
+	c.estimateFromReport(now, p)
 }
 
-// Ejected tells whether the endpoint is out of use at a time.
+// Ejected reports whether the endpoint is ejected at the given time.
 func (c *Candidate) Ejected(now time.Time) bool { return now.Before(c.EjectedUntil) }
