--- a/internal/route/migrator/migrator.go
+++ b/internal/route/migrator/migrator.go
@@ -1,22 +1,18 @@
-// Package evacuator saves cached prompts from engines that are leaving.
+// Package migrator migrates the prefix caches of engines whose hosts are leaving.
 //
-// # Why
+// When the host of an engine is reclaimed its cache is lost, and the next turn of each conversation
+// has to recompute its history. The cache can still be exported in the seconds between the notice
+// and the end of the host. Each daemon knows the conversations whose last turn it sent and the home
+// to which their next turn will go (see package selector). The migrator makes the new home import
+// the blocks of each conversation while the old engine is still running.
 //
-// When an engine's host is reclaimed, its cache goes with it, and the next
-// turn of each conversation has to compute its history anew. The notice leaves
-// seconds in which the cache can still be exported. Each daemon knows the
-// conversations whose last turn it sent, and where their next turn will go
-// (see the homes of package selector); it has the new home import their
-// blocks while the old engine still lives.
-//
-// Failing costs recomputed tokens, never correctness, so nothing here is
-// retried.
+// A failure costs recomputed tokens but never correctness, so imports are not retried.
 //
 // # Usage
 //
-//	e := evacuator.New(evacuator.Config{Registry: r, Caller: c})
-//	e.Hurry()         // after each change of the registry
-//	err := e.Serve(ctx)
+//	m := migrator.New(migrator.Config{Registry: r, Caller: c})
+//	m.Trigger()       // after each change of the registry
+//	err := m.Serve(ctx)
 package migrator
 
 import (
@@ -30,77 +26,80 @@
 )
 
 const (
-	// parallel bounds the imports that one daemon has under way.
-	parallel = 8
-	timeout  = 2 * time.Second
-	// gatherTime is short against the seconds of a notice.
-	gatherTime = 250 * time.Millisecond
+	// parallel limits the concurrent imports of one daemon.
+	parallel      = 8
+	importTimeout = 2 * time.Second
+	// collectTime is short compared to the seconds between a notice and the end of the host.
+	collectTime = 250 * time.Millisecond
 )
 
-// Caller reaches engines.
+// Caller calls engines.
 type Caller interface {
 	Import(ctx context.Context, address string, i *caller.ImportRequest) error
 }
 
-// Registry knows conversations and their homes.
+// Registry knows the conversations and their homes.
 type Registry interface {
-	Evacuees() []*registry.Conversation
-	Settle(c *registry.Conversation) string
+	// TakeMigratable removes and returns the conversations whose cache is on leaving hosts.
+	TakeMigratable() []*registry.Conversation
+	// Rehome chooses a new home and returns its address, or "" if there is none.
+	Rehome(c *registry.Conversation) string
 }
 
-// Config names the evacuator's collaborators.
+// Config holds the dependencies of a migrator.
 type Config struct {
 	Registry Registry
 	Caller   Caller
 }
 
-// Migrator imports caches as hosts leave.
+// Migrator migrates prefix caches off leaving hosts.
 type Migrator struct {
-	c      Config
-	urgent chan struct{}
+	c         Config
+	triggered chan struct{}
 }
 
-// New returns an evacuator.
-func New(c Config) *Migrator { return &Migrator{c: c, urgent: make(chan struct{}, 1)} }
+// New returns a migrator.
+func New(c Config) *Migrator { return &Migrator{c: c, triggered: make(chan struct{}, 1)} }
 
-// Trigger makes it look for leaving hosts.
-func (e *Migrator) Trigger() {
+// Trigger starts a round of migrations soon.
+func (m *Migrator) Trigger() {
 	select {
-	case e.urgent <- struct{}{}:
+	case m.triggered <- struct{}{}:
 	default:
 	}
 }
 
-// Serve works until ctx ends.
-func (e *Migrator) Serve(ctx context.Context) error {
+// Serve migrates caches after each Trigger until ctx ends.
+func (m *Migrator) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-e.urgent:
-			// Until a wave of notices is in: a cache that moves to a host which
-			// is the next to leave would be lost on the way.
-			waiter.For(ctx, gatherTime)
-			e.round(ctx)
+		case <-m.triggered:
+			// Wait for the other notices of the same wave: a cache that migrates to a host that
+			// leaves next would be lost.
+			waiter.For(ctx, collectTime)
+			m.migrate(ctx)
 		}
 	}
 }
 
-func (e *Migrator) round(ctx context.Context) {
+// migrate migrates the conversations whose cache is on leaving hosts and waits for the imports.
+func (m *Migrator) migrate(ctx context.Context) {
 	slots := make(chan struct{}, parallel)
 	var group sync.WaitGroup
-	for _, c := range e.c.Registry.Evacuees() {
+	for _, c := range m.c.Registry.TakeMigratable() {
 		source := c.Address
-		address := e.c.Registry.Settle(c)
+		address := m.c.Registry.Rehome(c)
 		if address == "" || address == source {
 			continue
 		}
 		slots <- struct{}{}
 		group.Go(func() {
 			defer func() { <-slots }()
-			ctx, cancel := context.WithTimeout(ctx, timeout)
+			ctx, cancel := context.WithTimeout(ctx, importTimeout)
 			defer cancel()
-			_ = e.c.Caller.Import(ctx, address, &caller.ImportRequest{Source: source, Blocks: c.Blocks})
+			_ = m.c.Caller.Import(ctx, address, &caller.ImportRequest{Source: source, Blocks: c.Blocks})
 		})
 	}
 	group.Wait()
--- a/internal/route/registry/choice.go
+++ b/internal/route/registry/choice.go
@@ -9,18 +9,19 @@
 	"brasschute/internal/route/selector"
 )
 
-// Query is a request for an endpoint of a pool.
+// Query asks for an endpoint of a pool.
 type Query struct {
 	Pool   identifier.Pool
 	Blocks []prefix.Block
-	// Sizes holds, by position, the tokens up to the end of each block; nil if
-	// all blocks are of the usual size.
+	// Sizes holds, by position, the number of prompt tokens up to the end of each block; nil if all
+	// blocks have the default size.
 	Sizes []identifier.Tokens
-	// Select holds the rest of the decision's input.
+	// Select holds the other inputs of the decision.
 	Select selector.Query
 }
 
-// Choose decides for one request. The pick is nil if no endpoint can serve.
+// Choose selects an endpoint for one request and counts the request as in flight there. The pick is
+// nil if no endpoint can serve.
 func (r *Registry) Choose(q *Query) (*Pick, selector.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -31,15 +32,15 @@
 		return nil, d
 	}
 	if q.Select.Versions.MajorityOnly && len(p.versions) > 1 {
-		q.Select.Versions.Only = p.usualVersion
+		q.Select.Versions.Only = p.majorityVersion
 	}
-	r.match(p, q)
-	p.pace = candidate.LoadParameters{
-		MeanUncachedTokens: p.usual, PrefillRate: float64(q.Select.PrefillRate), OtherDaemons: float64(r.c.Daemons() - 1),
+	r.matchPrefix(p, q)
+	p.parameters = candidate.LoadParameters{
+		MeanUncachedTokens: p.meanUncached, PrefillRate: float64(q.Select.PrefillRate), OtherDaemons: float64(r.c.Daemons() - 1),
 		StreamSeconds: float64(q.Select.OutputTokens) / float64(max(q.Select.DecodeRate, 1)),
 	}
 	p.refresh(q.Select.Now)
-	r.limit(p, q.Select.Now)
+	r.markLimited(p, q.Select.Now)
 	if q.Select.Prefix == 0 {
 		q.Select.Prefix = uint64(r.indexer.ConversationBlock(q.Blocks))
 	}
@@ -51,42 +52,43 @@
 	uncached := q.Select.PromptTokens - d.Chosen.Cached
 	ahead, streams := c.TokensAhead, c.Streams
 	c.InFlight++
-	turn := p.limited && r.c.RateLimiter.Take(life(c), q.Select.Now)
+	permit := p.limited && r.c.RateLimiter.Take(incarnationOf(c), q.Select.Now)
 	c.RecordSent(q.Select.Now, uncached)
-	p.usual += usualWeight * (float64(uncached) - p.usual)
+	p.meanUncached += meanUncachedWeight * (float64(uncached) - p.meanUncached)
 	id := r.id(c)
 	r.indexer.RecordSent(q.Blocks, id)
 	r.remember(q, c)
 	return &Pick{
 		Endpoint: c.Endpoint, Host: c.Host, Incarnation: c.Incarnation, Born: c.Born, Address: c.Address, Pool: c.Pool,
 		Version: c.Version, Cold: q.Select.Now.Before(c.WarmAt),
-		PricePerSecond: c.PricePerSecond, PredictedFirstToken: d.Chosen.FirstToken, NominalFirstToken: time.Duration(float64(d.Chosen.FirstToken) / max(c.Slowdown, 1)), UncachedTokens: uncached, TokensAhead: ahead, Streams: streams, Activity: c.Activity, id: id, turn: turn,
+		PricePerSecond: c.PricePerSecond, PredictedFirstToken: d.Chosen.FirstToken, NominalFirstToken: time.Duration(float64(d.Chosen.FirstToken) / max(c.Slowdown, 1)), UncachedTokens: uncached, TokensAhead: ahead, Streams: streams, Activity: c.Activity, id: id, permit: permit,
 	}, d
 }
 
-// refresh brings what depends on the time up to date, at most once in a while.
+// refresh updates the fields that depend on the time, at most once per refreshPause.
 func (p *pool) refresh(now time.Time) {
 	if now.Sub(p.refreshed) < refreshPause {
 		return
 	}
 	p.refreshed = now
-	p.listen(now)
+	p.markSilent(now)
 	for i := range p.candidates {
-		p.candidates[i].Refresh(now, p.pace)
+		p.candidates[i].Refresh(now, p.parameters)
 	}
 }
 
-func (r *Registry) match(p *pool, q *Query) {
+// matchPrefix sets p.cached to the tokens that each endpoint has cached of the leading blocks.
+func (r *Registry) matchPrefix(p *pool, q *Query) {
 	clear(p.cached)
 	r.indexer.Match(q.Blocks, func(id int32, n int) {
-		i, ok := r.place[id]
+		i, ok := r.positions[id]
 		if ok && i < len(p.candidates) && r.id(&p.candidates[i]) == id {
 			p.cached[i] = q.tokens(n)
 		}
 	})
 }
 
-// tokens counts those of the first n blocks.
+// tokens returns the number of prompt tokens in the first n blocks.
 func (q *Query) tokens(n int) identifier.Tokens {
 	if n <= len(q.Sizes) {
 		return q.Sizes[n-1]
@@ -94,13 +96,13 @@
 	return identifier.Tokens(n * prefix.BlockTokens)
 }
 
-// PickEndpoint counts a request on a named endpoint, as a resumption needs that goes
-// back to where its stream runs; nil if the endpoint is not listed.
+// PickEndpoint counts a request on the named endpoint, as needed for a resumed stream that returns
+// to the endpoint where it runs. It returns nil if the endpoint is not listed.
 func (r *Registry) PickEndpoint(e identifier.Endpoint) *Pick {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var k *Pick
-	r.each(func(c *candidate.Candidate) {
+	r.forEach(func(c *candidate.Candidate) {
 		if c.Endpoint == e {
 			c.InFlight++
 			k = &Pick{Endpoint: e, Host: c.Host, Incarnation: c.Incarnation, Born: c.Born, Address: c.Address, Pool: c.Pool, PricePerSecond: c.PricePerSecond, Activity: c.Activity, id: r.id(c)}
--- a/internal/route/registry/conversation.go
+++ b/internal/route/registry/conversation.go
@@ -9,29 +9,28 @@
 	"brasschute/internal/route/selector"
 )
 
-// Conversation is what this daemon knows of where a conversation's cache is.
+// Conversation records where the prefix cache of a conversation is, as far as this daemon knows.
 type Conversation struct {
 	Prefix uint64
-	// PricePremium is that of the configuration; see selector.PricePremium.
-	PricePremium  float64
-	Pool     identifier.Pool
-	Endpoint identifier.Endpoint
-	Host     identifier.Host
-	// Incarnation is the life of the host that has the cache.
+	// PricePremium is the result of [selector.HomePricePremium] for the configuration in force.
+	PricePremium float64
+	Pool         identifier.Pool
+	Endpoint     identifier.Endpoint
+	Host         identifier.Host
+	// Incarnation is the incarnation of the host that has the cache.
 	Incarnation identifier.Incarnation
 	Address     string
 	Blocks      []prefix.Block
-	LastTurn        time.Time
+	LastTurn    time.Time
 }
 
-// remember notes where a conversation's newest turn went. The caller holds
-// the lock.
+// remember records where the latest turn of a conversation went. The caller holds the lock.
 func (r *Registry) remember(q *Query, c *candidate.Candidate) {
 	if q.Select.Prefix == 0 || len(q.Blocks) == 0 {
 		return
 	}
 	if len(r.conversations) >= maxConversations {
-		r.forget(q.Select.Now)
+		r.dropOldConversations(q.Select.Now)
 	}
 	if len(r.conversations) >= maxConversations && r.conversations[q.Select.Prefix] == nil {
 		return
@@ -42,7 +41,9 @@
 	}
 }
 
-func (r *Registry) forget(now time.Time) {
+// dropOldConversations drops the conversations without a turn within conversationAge. The caller
+// holds the lock.
+func (r *Registry) dropOldConversations(now time.Time) {
 	for prefix, c := range r.conversations {
 		if now.Sub(c.LastTurn) > conversationAge {
 			delete(r.conversations, prefix)
@@ -50,35 +51,35 @@
 	}
 }
 
-// Evacuees takes out the conversations whose cache is on leaving hosts.
-func (r *Registry) Evacuees() []*Conversation {
+// TakeMigratable removes and returns the conversations whose cache is on leaving hosts.
+func (r *Registry) TakeMigratable() []*Conversation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	type state struct{ listed, leaving bool }
-	lives := make(map[lifeKey]state)
+	states := make(map[incarnationKey]state)
 	listed := make(map[identifier.Endpoint]bool)
-	r.each(func(c *candidate.Candidate) {
-		lives[lifeKey{c.Endpoint, c.Incarnation}] = state{true, c.Leaving}
+	r.forEach(func(c *candidate.Candidate) {
+		states[incarnationKey{c.Endpoint, c.Incarnation}] = state{true, c.Leaving}
 		listed[c.Endpoint] = true
 	})
 	var out []*Conversation
 	for prefix, c := range r.conversations {
-		life := lives[lifeKey{c.Endpoint, c.Incarnation}]
+		s := states[incarnationKey{c.Endpoint, c.Incarnation}]
 		switch {
-		case life.leaving:
+		case s.leaving:
 			out = append(out, c)
 			delete(r.conversations, prefix)
-		case listed[c.Endpoint] && !life.listed:
-			// The endpoint has started again: there is nothing left to move.
+		case listed[c.Endpoint] && !s.listed:
+			// The endpoint has restarted: its cache is gone, so there is nothing to migrate.
 			delete(r.conversations, prefix)
 		}
 	}
 	return out
 }
 
-// Settle chooses the new home of a conversation and returns its address, empty
-// if there is none, and notes the conversation there.
-func (r *Registry) Settle(c *Conversation) string {
+// Rehome chooses the new home of a conversation, records the conversation there and returns the
+// address of the home. The address is empty if no endpoint can be the home.
+func (r *Registry) Rehome(c *Conversation) string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	p := r.pools[c.Pool]
@@ -89,11 +90,11 @@
 	if i == selector.None {
 		return ""
 	}
-	k := &p.candidates[i]
-	c.Endpoint, c.Host, c.Incarnation, c.Address = k.Endpoint, k.Host, k.Incarnation, k.Address
+	home := &p.candidates[i]
+	c.Endpoint, c.Host, c.Incarnation, c.Address = home.Endpoint, home.Host, home.Incarnation, home.Address
 	r.conversations[c.Prefix] = c
 	for _, b := range c.Blocks {
-		r.indexer.Add(b, r.id(k))
+		r.indexer.Add(b, r.id(home))
 	}
-	return k.Address
+	return home.Address
 }
--- a/internal/route/registry/health.go
+++ b/internal/route/registry/health.go
@@ -7,47 +7,49 @@
 	"brasschute/internal/route/candidate"
 )
 
-// Result tells how a request to an endpoint went.
+// Result is the outcome of a request for the health of its endpoint.
 type Result int
 
-// The results. Neutral says nothing about the endpoint's health, as when the
-// caller cancelled.
+// The results. Neutral says nothing about the endpoint's health, for example if the client
+// cancelled.
 const (
 	Neutral Result = iota
 	Succeeded
 	Failed
-	// Unreachable: no connection came about. That says for certain that this
-	// host can't use the endpoint now, so it is ejected at once, and however
-	// many of its pool are.
+	// Unreachable means that no connection was established. It shows for certain that this host
+	// cannot use the endpoint now. The endpoint is therefore ejected at once, regardless of how
+	// many others of its pool are.
 	Unreachable
 )
 
-// Release ends a pick's request.
+// Release ends the request of a pick and updates the endpoint's health.
 func (r *Registry) Release(k *Pick, result Result) {
 	r.mu.Lock()
 	c := r.find(k)
 	if c != nil {
-		k.readAt(c)
+		k.markPrefillDone(c)
 		c.InFlight--
-		r.judge(c, result)
+		r.updateHealth(c, result)
 	}
 	r.mu.Unlock()
 }
 
-// Cancel ends a pick whose request is not sent.
+// Cancel ends a pick whose request was not sent.
 func (r *Registry) Cancel(k *Pick) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.giveBack(k)
+	r.returnPermit(k)
 	if c := r.find(k); c != nil {
-		k.readAt(c)
+		k.markPrefillDone(c)
 		c.InFlight--
 		c.UndoSent(k.UncachedTokens)
-		c.Refresh(time.Now(), r.pools[c.Pool].pace)
+		c.Refresh(time.Now(), r.pools[c.Pool].parameters)
 	}
 }
 
-func (r *Registry) judge(c *candidate.Candidate, result Result) {
+// updateHealth ejects a failing endpoint and ends the ejection after a success. The caller holds the
+// lock.
+func (r *Registry) updateHealth(c *candidate.Candidate, result Result) {
 	switch result {
 	case Succeeded:
 		c.Failures = 0
@@ -58,13 +60,15 @@
 	case Failed:
 		c.Failures++
 		if c.Failures >= ejectAfter && r.mayEject(c.Pool) {
-			pause := min(firstEject<<min(c.Failures-ejectAfter, 4), longEject)
+			pause := min(firstEject<<min(c.Failures-ejectAfter, 4), maxEject)
 			c.EjectedUntil = time.Now().Add(pause)
 		}
 	}
-	c.Refresh(time.Now(), r.pools[c.Pool].pace)
+	c.Refresh(time.Now(), r.pools[c.Pool].parameters)
 }
 
+// mayEject reports whether another endpoint of the pool may be ejected: at most half of them are, but
+// a single one may be.
 func (r *Registry) mayEject(name identifier.Pool) bool {
 	p := r.pools[name]
 	ejected := 0
--- a/internal/route/registry/life_test.go
+++ b/internal/route/registry/incarnation_test.go
@@ -14,9 +14,9 @@
 
 var blocks = []prefix.Block{11, 12, 13}
 
-// talk sends a request of a conversation and returns the pick and what was presumed
-// cached.
-func talk(r *Registry) (*Pick, identifier.Tokens) {
+// chooseTurn sends a turn of a conversation. It returns the pick and the number of tokens presumed
+// to be cached.
+func chooseTurn(r *Registry) (*Pick, identifier.Tokens) {
 	pick, d := r.Choose(&Query{
 		Pool: "p", Blocks: blocks, Sizes: []identifier.Tokens{1000, 2000, 3000},
 		Select: selector.Query{Now: time.Now(), MaxInFlight: 100, PromptTokens: 4000, PrefillRate: 40000, DecodeRate: 100, RecomputeWeight: 1, Prefix: 13},
@@ -24,17 +24,17 @@
 	return pick, d.Chosen.Cached
 }
 
-// An engine starts again under its id. What the daemon knew of it by the id alone outlived
-// it: prompts went there for parts that it did not have any more and were all read again,
-// and an endpoint that had failed or been slow before stayed out of use.
-func TestNewLifeBeginsWithNothing(t *testing.T) {
+// An engine restarts under the same endpoint ID. If the daemon kept state by ID alone, prompts
+// would go there for cached blocks that are gone and would be computed again, and an endpoint that
+// had failed or been slow before the restart would stay out of use.
+func TestNewIncarnationStartsEmpty(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t, "h")
-		pick, _ := talk(r)
+		pick, _ := chooseTurn(r)
 		r.ObserveFirstToken(pick, 10*time.Second)
-		_, cached := talk(r)
+		_, cached := chooseTurn(r)
 		if cached != 3000 {
-			t.Fatalf("%d tokens are presumed cached", cached)
+			t.Fatalf("%d tokens are presumed cached, want 3000", cached)
 		}
 		for range ejectAfter {
 			r.Release(r.PickEndpoint("on-h"), Failed)
@@ -42,57 +42,58 @@
 		r.SetPeerLoads(map[identifier.Endpoint]candidate.SentLoad{"on-h": {TokensPerSecond: 1e6, Running: 50, PendingPrefill: 1e6}})
 		r.MarkLeaving("h", 1, time.Time{})
 
-		list(t, r, "h", 2, inventory.StateLive)
+		listHost(t, r, "h", 2, inventory.StateLive)
 		e := r.Endpoints()[0]
 		if e.Leaving || e.Failures > 0 || e.Ejected(time.Now()) || e.InFlight > 0 || e.Slowdown > 0 || e.TokensAhead > 0 || e.Streams > 0 || e.PendingPrefill() > 0 {
-			t.Errorf("the new life begins with what was known of the earlier one: %+v", e)
+			t.Errorf("the new incarnation starts with state of the earlier one: %+v", e)
 		}
 		if r.Usable(pick) {
-			t.Error("a request chosen for the earlier life would be sent to the new one")
+			t.Error("a request chosen for the earlier incarnation would be sent to the new one")
 		}
-		after, cached := talk(r)
+		after, cached := chooseTurn(r)
 		if after == nil || cached != 0 {
-			t.Fatalf("pick %v, %d tokens are presumed cached", after, cached)
+			t.Fatalf("pick %v, %d tokens are presumed cached, want 0", after, cached)
 		}
-		// What the earlier life still answers is late news.
+		// Late results of the earlier incarnation must not count.
 		r.ObserveFirstToken(pick, 10*time.Second)
 		r.Release(pick, Failed)
 		if e := r.Endpoints()[0]; e.InFlight != 1 || e.Failures > 0 || e.Slowdown > 1 {
-			t.Errorf("a late answer counts for the new life: %+v", e)
+			t.Errorf("a late answer counts for the new incarnation: %+v", e)
 		}
 	})
 }
 
-// The same life is listed again after its record lapsed. It still has its cache.
-func TestSameLifeKeepsItsCache(t *testing.T) {
+// An endpoint is listed again in the same incarnation after its record lapsed. It still has its
+// cache.
+func TestSameIncarnationKeepsItsCache(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t, "h")
-		talk(r)
+		chooseTurn(r)
 		r.UpdateHosts(map[string]*inventory.Host{inventory.HostPrefix + "z/h": nil})
-		list(t, r, "h", 1, inventory.StateLive)
-		if _, cached := talk(r); cached != 3000 {
-			t.Errorf("%d tokens are presumed cached, 3000 are", cached)
+		listHost(t, r, "h", 1, inventory.StateLive)
+		if _, cached := chooseTurn(r); cached != 3000 {
+			t.Errorf("%d tokens are presumed cached, want 3000", cached)
 		}
 	})
 }
 
-// A conversation's cache is on an endpoint that starts again, and then leaves. There is
-// nothing to move of what the earlier life had.
-func TestCacheOfAnEarlierLifeIsNotMoved(t *testing.T) {
+// A conversation's cache is on an endpoint that restarts and then leaves. The cache of the earlier
+// incarnation is gone, so there is nothing to migrate.
+func TestCacheOfEarlierIncarnationIsNotMigrated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t, "h")
-		talk(r)
-		list(t, r, "h", 2, inventory.StateLive)
+		chooseTurn(r)
+		listHost(t, r, "h", 2, inventory.StateLive)
 		r.MarkLeaving("h", 2, time.Time{})
-		if moved := r.Evacuees(); len(moved) > 0 {
-			t.Errorf("%d conversations would be moved", len(moved))
+		if migratable := r.TakeMigratable(); len(migratable) > 0 {
+			t.Errorf("%d conversations would be migrated, want 0", len(migratable))
 		}
 	})
 }
 
-// The homes of prompts follow the life: those of one that has lost its cache are spread
-// anew, in the same way at all daemons, and those of the others stay.
-func TestHomesOfANewLifeArePlacedAnew(t *testing.T) {
+// Home endpoints depend on the incarnation. Homes on an endpoint that lost its cache are
+// redistributed, identically at all daemons; homes on the other endpoints stay.
+func TestHomesOfNewIncarnationAreRedistributed(t *testing.T) {
 	homes := func(born identifier.StartTime) (out [200]identifier.Endpoint) {
 		r := newRegistry(t)
 		listed := make(map[string]*inventory.Host)
@@ -118,12 +119,12 @@
 	for i := range first {
 		switch {
 		case first[i] != "a" && second[i] != "a" && first[i] != second[i]:
-			t.Errorf("a home moved from %s to %s", first[i], second[i])
+			t.Errorf("a home of another endpoint moved from %s to %s", first[i], second[i])
 		case first[i] == "a" && second[i] != "a":
 			moved++
 		}
 	}
 	if moved < 20 {
-		t.Errorf("%d homes of the earlier life are spread", moved)
+		t.Errorf("%d homes of the earlier incarnation are redistributed, want at least 20", moved)
 	}
 }
--- a/internal/route/registry/limit.go
+++ b/internal/route/registry/limit.go
@@ -8,48 +8,54 @@
 	"brasschute/internal/route/pacer"
 )
 
-// life names the present life of an endpoint as other daemons know it.
-func life(c *candidate.Candidate) pacer.Incarnation { return pacer.Incarnation{Endpoint: c.Endpoint, Born: c.Born} }
+// incarnationOf identifies the current incarnation of an endpoint as other daemons know it.
+func incarnationOf(c *candidate.Candidate) pacer.Incarnation {
+	return pacer.Incarnation{Endpoint: c.Endpoint, Born: c.Born}
+}
 
-// EndpointIncarnation names the life of an endpoint that was chosen, as other daemons know it.
-func (k *Pick) EndpointIncarnation() pacer.Incarnation { return pacer.Incarnation{Endpoint: k.Endpoint, Born: k.Born} }
+// EndpointIncarnation identifies the incarnation of the chosen endpoint as other daemons know it.
+func (k *Pick) EndpointIncarnation() pacer.Incarnation {
+	return pacer.Incarnation{Endpoint: k.Endpoint, Born: k.Born}
+}
 
-// limit marks the candidates that take nothing more from this daemon now. The caller holds
-// the lock.
-func (r *Registry) limit(p *pool, now time.Time) {
+// markLimited marks the candidates whose rate limit leaves nothing for this daemon now. The caller
+// holds the lock.
+func (r *Registry) markLimited(p *pool, now time.Time) {
 	limited := r.c.RateLimiter != nil && r.c.RateLimiter.HasLimits()
 	if !limited && !p.limited {
 		return
 	}
 	for i := range p.candidates {
 		c := &p.candidates[i]
-		c.Limited = limited && !r.c.RateLimiter.Ready(life(c), now)
+		c.Limited = limited && !r.c.RateLimiter.Ready(incarnationOf(c), now)
 	}
 	p.limited = limited
 }
 
-// AcquirePermit takes the turn of a request that goes out now, unless it has had it since it was
-// chosen, and reports whether the endpoint takes it: its limit may have become known since.
+// AcquirePermit takes a permit of the endpoint's rate limit for a request that is about to be sent,
+// unless the request has had one since it was chosen. It reports whether the request may be sent:
+// the limit may have become known since the choice.
 func (r *Registry) AcquirePermit(k *Pick) bool {
-	if r.c.RateLimiter == nil || k.turn {
+	if r.c.RateLimiter == nil || k.permit {
 		return true
 	}
-	k.turn = r.c.RateLimiter.Take(k.EndpointIncarnation(), time.Now())
-	return k.turn
+	k.permit = r.c.RateLimiter.Take(k.EndpointIncarnation(), time.Now())
+	return k.permit
 }
 
-// ReturnPermit gives back the turn of a request of which nothing went out.
-func (r *Registry) ReturnPermit(k *Pick) { r.giveBack(k) }
+// ReturnPermit gives back the permit of a request of which nothing was sent.
+func (r *Registry) ReturnPermit(k *Pick) { r.returnPermit(k) }
 
-func (r *Registry) giveBack(k *Pick) {
-	if k.turn {
-		k.turn = false
+// returnPermit gives back the permit of a pick, if it holds one.
+func (r *Registry) returnPermit(k *Pick) {
+	if k.permit {
+		k.permit = false
 		r.c.RateLimiter.Return(k.EndpointIncarnation())
 	}
 }
 
-// NextAvailable is when this daemon may send to one of a pool's endpoints again that take
-// nothing now, zero if it is not known of any.
+// NextAvailable returns the earliest time at which an endpoint of the pool that accepts nothing now
+// accepts a request of this daemon again; zero if it is known of none.
 func (r *Registry) NextAvailable(name identifier.Pool) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -59,7 +65,7 @@
 		return next
 	}
 	for i := range p.candidates {
-		at := r.turn(&p.candidates[i])
+		at := r.availableAt(&p.candidates[i])
 		if !at.IsZero() && (next.IsZero() || at.Before(next)) {
 			next = at
 		}
@@ -67,16 +73,16 @@
 	return next
 }
 
-// turn is when a candidate takes a request again of this daemon's, zero if that is not known
-// or it takes some now. The caller holds the lock.
-func (r *Registry) turn(c *candidate.Candidate) time.Time {
+// availableAt returns when the candidate accepts a request of this daemon again. It is zero if that
+// is unknown or the candidate accepts requests now. The caller holds the lock.
+func (r *Registry) availableAt(c *candidate.Candidate) time.Time {
 	switch {
 	case c.Leaving:
 		return time.Time{}
 	case c.BackingOff:
 		return c.BackoffUntil
 	case c.Limited:
-		return r.c.RateLimiter.NextSend(life(c))
+		return r.c.RateLimiter.NextSend(incarnationOf(c))
 	}
 	return time.Time{}
 }
--- a/internal/route/registry/listing.go
+++ b/internal/route/registry/listing.go
@@ -18,17 +18,18 @@
 	"brasschute/internal/route/selector"
 )
 
-// lifeKey names one life of an endpoint: one that starts again under its id has nothing
-// cached of what it had.
-type lifeKey struct {
+// incarnationKey identifies one incarnation of an endpoint. An endpoint that restarts under its ID
+// has lost its cache.
+type incarnationKey struct {
 	endpoint    identifier.Endpoint
 	incarnation identifier.Incarnation
 }
 
-// maxIDs is the number of lives from which on those that are not listed are forgotten.
+// maxIDs is the number of incarnations above which those that are not listed are forgotten.
 const maxIDs = 4096
 
-// Apply takes in one platform object: a host or a notice. Others are ignored.
+// Apply updates the registry with one platform object, a host or a notice. Other objects are
+// ignored.
 func (r *Registry) Apply(o *object.Object) {
 	switch {
 	case strings.HasPrefix(o.Key, inventory.HostPrefix):
@@ -58,12 +59,12 @@
 	r.UpdateHosts(map[string]*inventory.Host{o.Key: &h})
 }
 
-// UpdateHosts takes in at once what is listed of hosts, by key; a nil host is not listed
-// any more.
+// UpdateHosts applies several changes of the host list at once, by object key. A nil host is
+// removed from the list.
 func (r *Registry) UpdateHosts(listed map[string]*inventory.Host) {
 	for _, h := range listed {
 		if h != nil && h.State == inventory.StateLeaving {
-			r.MarkLeaving(h.Host, h.Incarnation, time.UnixMilli(unknownNotice))
+			r.MarkLeaving(h.Host, h.Incarnation, time.UnixMilli(unknownDeadline))
 		}
 	}
 	r.mu.Lock()
@@ -79,8 +80,7 @@
 	r.c.OnChange()
 }
 
-// MarkLeaving stops new work to a host's endpoints. It reports whether that
-// was news.
+// MarkLeaving stops new requests to the endpoints of a host. It reports whether that was news.
 func (r *Registry) MarkLeaving(h identifier.Host, i identifier.Incarnation, deadline time.Time) bool {
 	if !r.c.LeavingHosts.MarkLeaving(h, i, deadline, time.Now()) {
 		return false
@@ -89,10 +89,10 @@
 	return true
 }
 
-// Refresh takes over what the ledger says of leaving hosts, and the prices.
+// Refresh updates all candidates with the leaving hosts and the prices.
 func (r *Registry) Refresh() {
 	r.mu.Lock()
-	r.each(r.mark)
+	r.forEach(r.updateCandidate)
 	for _, p := range r.pools {
 		if len(p.versions) > 1 {
 			p.rank()
@@ -102,42 +102,45 @@
 	r.c.OnChange()
 }
 
-func (r *Registry) mark(c *candidate.Candidate) {
+// updateCandidate sets whether the candidate is leaving, and its price.
+func (r *Registry) updateCandidate(c *candidate.Candidate) {
 	c.Deadline, c.Leaving = r.c.LeavingHosts.Leaving(c.Host, c.Incarnation)
 	c.PricePerSecond = r.c.Price(c.AvailabilityZone, c.Class) / time.Hour.Seconds()
 }
 
-// rebuild lays the pools out anew and keeps what is known of endpoints that
-// stay. The caller holds the lock.
+// rebuild builds the pools from the host list and keeps the state of endpoints that remain. The
+// caller holds the lock.
 func (r *Registry) rebuild() {
 	known := make(map[identifier.Endpoint]candidate.Candidate)
-	r.each(func(c *candidate.Candidate) { known[c.Endpoint] = *c })
-	before := r.pools
+	r.forEach(func(c *candidate.Candidate) { known[c.Endpoint] = *c })
+	oldPools := r.pools
 	r.pools = make(map[identifier.Pool]*pool)
 	for _, h := range r.hosts {
 		for i := range h.Endpoints {
 			r.add(&h, &h.Endpoints[i], known)
 		}
 	}
-	r.place = make(map[int32]int)
+	r.positions = make(map[int32]int)
 	for _, p := range r.pools {
 		slices.SortFunc(p.candidates, func(a, b candidate.Candidate) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 		p.rank()
 		p.cached = make([]identifier.Tokens, len(p.candidates))
 		p.scratch = make([]selector.Prediction, len(p.candidates))
-		p.usual = firstUsual
-		if old := before[p.candidates[0].Pool]; old != nil {
-			p.usual = old.usual
+		p.meanUncached = initialMeanUncached
+		if old := oldPools[p.candidates[0].Pool]; old != nil {
+			p.meanUncached = old.meanUncached
 		}
 		for i := range p.candidates {
-			r.place[r.id(&p.candidates[i])] = i
+			r.positions[r.id(&p.candidates[i])] = i
 		}
 	}
 	if len(r.ids) > maxIDs {
-		maps.DeleteFunc(r.ids, func(_ lifeKey, id int32) bool { _, listed := r.place[id]; return !listed })
+		maps.DeleteFunc(r.ids, func(_ incarnationKey, id int32) bool { _, listed := r.positions[id]; return !listed })
 	}
 }
 
+// add adds an endpoint of a host to its pool, with the state known of its incarnation. The caller
+// holds the lock.
 func (r *Registry) add(h *inventory.Host, e *inventory.Endpoint, known map[identifier.Endpoint]candidate.Candidate) {
 	c, ok := known[e.Endpoint]
 	if !ok || c.Incarnation != h.Incarnation {
@@ -149,9 +152,9 @@
 	if e.Cold > 0 && (!ok || c.WarmAt.IsZero()) {
 		c.WarmAt = time.Now().Add(e.Cold)
 	}
-	key := lifeKey{c.Endpoint, c.Incarnation}
-	c.BackoffUntil, c.PeerBackoffUntil = r.rests[key], r.spared[key]
-	r.mark(&c)
+	key := incarnationKey{c.Endpoint, c.Incarnation}
+	c.BackoffUntil, c.PeerBackoffUntil = r.backoffs[key], r.peerBackoffs[key]
+	r.updateCandidate(&c)
 	p := r.pools[e.Pool]
 	if p == nil {
 		p = &pool{}
@@ -160,9 +163,10 @@
 	p.candidates = append(p.candidates, c)
 }
 
-// hash is what places homes, the same at all daemons. A new life has lost what the homes
-// of the one before were for: they are spread over the others as if it were new, and do
-// not all wait for their parts to be read at one endpoint.
+// hash determines the home endpoints, identically at all daemons. A new incarnation has lost the
+// cache that its homes were for. Its homes are therefore redistributed over the other endpoints as
+// if it were a new one; otherwise all their prompts would wait to be computed again at one
+// endpoint.
 func hash(e identifier.Endpoint, born identifier.StartTime) uint64 {
 	if born == 0 {
 		return xxhash.Sum64String(string(e))
@@ -170,9 +174,9 @@
 	return xxhash.Sum64String(string(e) + "/" + strconv.FormatInt(int64(born), 10))
 }
 
-// id is the number under which the indexer knows the present life of an endpoint.
+// id returns the number of an endpoint's current incarnation in the indexer.
 func (r *Registry) id(c *candidate.Candidate) int32 {
-	key := lifeKey{c.Endpoint, c.Incarnation}
+	key := incarnationKey{c.Endpoint, c.Incarnation}
 	id, ok := r.ids[key]
 	if !ok {
 		r.lastID++
--- a/internal/route/registry/load.go
+++ b/internal/route/registry/load.go
@@ -7,31 +7,31 @@
 	"brasschute/internal/route/candidate"
 )
 
-// Load is what this daemon sends to an endpoint.
+// Load is the load that this daemon sends to an endpoint.
 type Load struct {
 	Endpoint identifier.Endpoint
-	// Born tells the endpoint's life.
+	// Born identifies the endpoint's incarnation.
 	Born identifier.StartTime
 	candidate.SentLoad
 }
 
-// Loads returns what this daemon sends to the endpoints that it uses.
+// Loads returns the load that this daemon sends to each endpoint that it uses substantially.
 func (r *Registry) Loads(now time.Time) []Load {
-	const least = 300 // tokens a second, a hundredth of what an engine reads
+	const minRate = 300 // tokens per second, a hundredth of an engine's prefill rate
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []Load
-	r.each(func(c *candidate.Candidate) {
-		if rate := c.RecentTokenRate(now); rate >= least {
+	r.forEach(func(c *candidate.Candidate) {
+		if rate := c.RecentTokenRate(now); rate >= minRate {
 			out = append(out, Load{c.Endpoint, c.Born, candidate.SentLoad{TokensPerSecond: rate, Running: int(c.InFlight), PendingPrefill: c.PendingPrefill()}})
 		}
 	})
 	return out
 }
 
-// SetPeerLoads takes in what the other daemons send to each endpoint.
+// SetPeerLoads sets the load that the other daemons send to each endpoint.
 func (r *Registry) SetPeerLoads(others map[identifier.Endpoint]candidate.SentLoad) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.each(func(c *candidate.Candidate) { c.SetPeerLoad(others[c.Endpoint]) })
+	r.forEach(func(c *candidate.Candidate) { c.SetPeerLoad(others[c.Endpoint]) })
 }
--- a/internal/route/registry/pick.go
+++ b/internal/route/registry/pick.go
@@ -16,63 +16,63 @@
 	Address     string
 	Pool        identifier.Pool
 	Version     identifier.Version
-	// Cold: the endpoint is slow as it has just started.
+	// Cold: the endpoint is still slow from its start.
 	Cold bool
-	// PricePerSecond is that of the host.
+	// PricePerSecond is the price of the host.
 	PricePerSecond float64
-	// PredictedFirstToken is the first token's time, as predicted from the request's own
-	// Uncached prompt tokens, those Ahead of it and the Streams that run.
+	// PredictedFirstToken is the predicted time to first token. It follows from the request's own
+	// UncachedTokens, the TokensAhead of them and the Streams running at the endpoint.
 	PredictedFirstToken time.Duration
-	// NominalFirstToken is the same for an endpoint that is as quick as the others.
-	NominalFirstToken    time.Duration
-	UncachedTokens identifier.Tokens
-	TokensAhead    float64
-	Streams  float64
+	// NominalFirstToken is the same for an endpoint without slowdown.
+	NominalFirstToken time.Duration
+	UncachedTokens    identifier.Tokens
+	TokensAhead       float64
+	Streams           float64
 
-	// Activity is told of what comes from the endpoint.
+	// Activity must be informed of the events that arrive from the endpoint.
 	Activity *candidate.Activity
 
 	id int32
-	// turn: the request has its part of the endpoint's limit.
-	turn bool
-	// read: the prompt tokens do not count as unread any more.
-	read bool
+	// permit: the request holds a permit of the endpoint's rate limit.
+	permit bool
+	// prefillDone: the prompt tokens no longer count as pending.
+	prefillDone bool
 }
 
-// PredictedWait is the part of the predicted time in which the endpoint reads what is ahead.
+// PredictedWait returns the part of the predicted time to first token in which the endpoint
+// computes the tokens ahead of the request.
 func (k *Pick) PredictedWait() time.Duration {
-	all := k.TokensAhead + float64(k.UncachedTokens)
-	if all <= 0 {
+	total := k.TokensAhead + float64(k.UncachedTokens)
+	if total <= 0 {
 		return 0
 	}
-	return time.Duration(float64(k.PredictedFirstToken) * k.TokensAhead / all)
+	return time.Duration(float64(k.PredictedFirstToken) * k.TokensAhead / total)
 }
 
-// readAt takes the prompt tokens of a pick off its endpoint's unread ones, once.
-func (k *Pick) readAt(c *candidate.Candidate) {
-	if !k.read {
-		k.read = true
+// markPrefillDone removes the pick's prompt tokens from the pending ones of its endpoint, once.
+func (k *Pick) markPrefillDone(c *candidate.Candidate) {
+	if !k.prefillDone {
+		k.prefillDone = true
 		c.PrefillDone(k.UncachedTokens)
 	}
 }
 
-// find returns a pick's endpoint if it is still the same life of the host.
-// The caller holds the lock.
+// find returns the endpoint of a pick if it is still in the same incarnation. The caller holds the
+// lock.
 func (r *Registry) find(k *Pick) *candidate.Candidate {
 	p := r.pools[k.Pool]
 	if p == nil {
 		return nil
 	}
-	i, ok := r.place[k.id]
+	i, ok := r.positions[k.id]
 	if !ok || i >= len(p.candidates) || p.candidates[i].Endpoint != k.Endpoint || p.candidates[i].Incarnation != k.Incarnation {
 		return nil
 	}
 	return &p.candidates[i]
 }
 
-// Usable tells whether new work may be sent to a pick right now. Without this
-// check a request chosen before the notice, and held up since, would reach an
-// endpoint that is leaving.
+// Usable reports whether the request of a pick may be sent now. Without this check a request that
+// was chosen before a notice and then delayed would reach an endpoint that is leaving.
 func (r *Registry) Usable(k *Pick) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,7 +80,8 @@
 	return c != nil && !c.Leaving && !time.Now().Before(c.BackoffUntil)
 }
 
-// Leaving tells whether a pick's host is leaving, and when if that is known.
+// Leaving reports whether the host of a pick is leaving, or no longer listed in this incarnation, and
+// its deadline if that is known.
 func (r *Registry) Leaving(k *Pick) (deadline time.Time, leaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +92,7 @@
 	return c.Deadline, c.Leaving
 }
 
-// ObserveFirstToken takes in how long a pick's first token took.
+// ObserveFirstToken records the measured time to first token of a pick.
 func (r *Registry) ObserveFirstToken(k *Pick, took time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -99,7 +100,7 @@
 	if c == nil {
 		return
 	}
-	k.readAt(c)
+	k.markPrefillDone(c)
 	if k.PredictedFirstToken > 0 {
 		c.ObserveFirstToken(took, k.PredictedFirstToken, time.Now())
 	}
--- a/internal/route/registry/registry.go
+++ b/internal/route/registry/registry.go
@@ -1,30 +1,25 @@
-// Package registry is a daemon's live view of the endpoints.
+// Package registry keeps a daemon's live view of the endpoints.
 //
-// # Sources
+// Endpoints come from the platform's host list. The first source that says an endpoint is leaving
+// is believed: a reclaim notice, the host list, the endpoint's own load report or a peer.
+// Config.LeavingHosts stores it for the incarnation of the host, and nothing in this package
+// reverts it.
 //
-// Endpoints come from the platform's host list. Whether one is leaving is
-// believed from whoever says so first: a reclaim notice, the host list, the
-// endpoint's own load report, or a peer; package ledger remembers it for the
-// host's incarnation, and nothing here takes it back.
+// [Registry.Choose] counts a request as in flight at the chosen endpoint and returns a [Pick]. Time
+// may pass between choosing and sending: a claim may wait for the platform, a dial may hang. The
+// sender must therefore call [Registry.Usable] again right before the first byte.
 //
-// # Choosing and sending
+// # Outlier ejection
 //
-// [Registry.Choose] counts the chosen endpoint's request as in flight and
-// returns a [Pick]. Between choosing and sending, time passes: a claim may
-// wait for the platform, a dial may hang. So whoever sends asks
-// [Registry.Usable] again as the last thing before the first byte goes out.
-//
-// # Ejection
-//
-// An endpoint that fails [ejectAfter] times in a row is not used for a pause
-// that doubles with each further failure; then it gets single requests until
-// one succeeds. At most half of a pool is ejected at once: if most of a pool
-// fails, the cause is more likely on this side, and the rest must not drown.
+// An endpoint that fails [ejectAfter] times in a row is ejected for a period that doubles with each
+// further failure. After that it gets single requests until one succeeds. At most half of a pool is
+// ejected at a time: if most of a pool fails, the cause is more likely on this side, and the
+// remaining endpoints must not be overloaded.
 //
 // # Usage
 //
 //	pick, decision := r.Choose(&registry.Query{...})
-//	defer r.Release(pick, err)
+//	defer r.Release(pick, result)
 package registry
 
 import (
@@ -45,96 +40,105 @@
 )
 
 const (
+	// ejectAfter is the number of consecutive failures that eject an endpoint. firstEject is the
+	// duration of the first ejection, maxEject the longest.
 	ejectAfter = 3
 	firstEject = 2 * time.Second
-	longEject  = 30 * time.Second
-	// refreshPause is how long an ejection may outlast its end.
+	maxEject   = 30 * time.Second
+	// refreshPause is the minimum time between two refreshes of a pool; an ejection may last longer
+	// by as much.
 	refreshPause = 50 * time.Millisecond
-	// unknownNotice stands for the deadline of a host that is leaving at a
-	// time nobody has said: it may go at any moment.
-	unknownNotice = 0
+	// unknownDeadline stands for the deadline of a host whose end is unknown: it may end at any
+	// moment.
+	unknownDeadline = 0
 )
 
-// LeavingHosts remembers leaving hosts.
+// LeavingHosts stores which hosts are leaving.
 type LeavingHosts interface {
+	// Leaving returns the deadline of an incarnation of a host, and whether it is known to leave.
 	Leaving(h identifier.Host, i identifier.Incarnation) (time.Time, bool)
+	// MarkLeaving stores that an incarnation of a host is leaving and reports whether that was news.
 	MarkLeaving(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool
 }
 
-// Config names the registry's collaborators.
+// Config holds the dependencies of a registry.
 type Config struct {
 	LeavingHosts LeavingHosts
-	// Price returns a host's cost per hour; nil for none.
+	// Price returns the price of a host per hour; nil for free hosts.
 	Price func(identifier.AvailabilityZone, document.Class) float64
-	// Daemons counts the daemons that send to the same endpoints; nil for 1.
+	// Daemons returns the number of daemons that send to the same endpoints; nil for 1.
 	Daemons func() int
-	// OnChange is told after endpoints came, went or began to leave; may be
-	// nil.
+	// OnChange is called after endpoints were added, removed or began to leave; may be nil.
 	OnChange func()
-	// RateLimiter says how much endpoints take that name a limit; nil if none does.
+	// RateLimiter enforces the rate limits that endpoints state; nil for none.
 	RateLimiter RateLimiter
-	// Select decides; selector.Select if nil. Experiments put baselines here.
+	// Select makes the decision; nil for selector.Select. Experiments use it to run baselines.
 	Select func(*selector.Query, []candidate.Candidate, []identifier.Tokens, []selector.Prediction) selector.Decision
 }
 
-// RateLimiter holds requests to what endpoints say they take.
+// RateLimiter keeps the requests of this daemon within the rate limits that endpoints state.
 type RateLimiter interface {
-	// HasLimits tells whether some endpoint has a limit.
+	// HasLimits reports whether any endpoint has a limit.
 	HasLimits() bool
-	// Ready tells whether a request may go to an endpoint now; Take takes its turn, and
-	// Return gives it back.
-	Ready(l pacer.Incarnation, now time.Time) bool
-	Take(l pacer.Incarnation, now time.Time) bool
-	Return(l pacer.Incarnation)
-	// NextSend is when the next turn comes, zero if none does.
-	NextSend(l pacer.Incarnation) time.Time
+	// Ready reports whether a request may be sent to an endpoint now. Take takes a permit for it,
+	// and Return gives the permit back.
+	Ready(i pacer.Incarnation, now time.Time) bool
+	Take(i pacer.Incarnation, now time.Time) bool
+	Return(i pacer.Incarnation)
+	// NextSend returns when the next permit is available, zero if none will be.
+	NextSend(i pacer.Incarnation) time.Time
 }
 
+// pool holds the endpoints of one pool.
 type pool struct {
+	// candidates are ordered by name. cached and scratch are working space of a decision, by the
+	// position of the candidate.
 	candidates []candidate.Candidate
 	cached     []identifier.Tokens
 	scratch    []selector.Prediction
 	refreshed  time.Time
-	// limited: some candidate may be marked as such.
-	limited bool
-	pace    candidate.LoadParameters
-	// usual is the mean of the uncached tokens of the prompts sent.
-	usual float64
-	// versions counts the endpoints of each version that are not leaving, usualVersion is
-	// that of most.
-	versions     map[identifier.Version]int
-	usualVersion identifier.Version
+	// limited is set if candidates may be marked as limited.
+	limited    bool
+	parameters candidate.LoadParameters
+	// meanUncached is the mean number of uncached tokens of the prompts sent.
+	meanUncached float64
+	// versions counts the endpoints of each version that are not leaving. majorityVersion is the
+	// most frequent one.
+	versions        map[identifier.Version]int
+	majorityVersion identifier.Version
 }
 
 const (
-	// firstUsual is taken for the uncached tokens of a usual prompt until some were
-	// sent; usualWeight is the weight of the newest one.
-	firstUsual  = 4000
-	usualWeight = 0.01
+	// initialMeanUncached is used for meanUncached until prompts have been sent. meanUncachedWeight
+	// is the weight of the newest prompt.
+	initialMeanUncached = 4000
+	meanUncachedWeight  = 0.01
 )
 
-// Registry is safe for concurrent use.
+// Registry holds the endpoints and chooses among them. It is safe for concurrent use.
 type Registry struct {
 	c Config
 
 	mu    sync.Mutex
 	hosts map[string]inventory.Host
 	pools map[identifier.Pool]*pool
-	ids   map[lifeKey]int32
-	// rests and spared are when endpoints take requests again of this daemon and of others, by
-	// life, as a record may lapse and come back.
-	rests, spared map[lifeKey]time.Time
-	// lastID is the highest number given to a life.
-	lastID  int32
-	place   map[int32]int
-	indexer indexer.Indexer
-	// conversations are those sent to each endpoint, newest turn only.
+	// ids holds the number of each incarnation in the indexer.
+	ids map[incarnationKey]int32
+	// backoffs and peerBackoffs hold when endpoints accept requests again, those of this daemon and
+	// those of others. They are kept by incarnation, because a record may lapse and come back.
+	backoffs, peerBackoffs map[incarnationKey]time.Time
+	// lastID is the highest number in ids. positions holds the position of each candidate in its
+	// pool, by that number.
+	lastID    int32
+	positions map[int32]int
+	indexer   indexer.Indexer
+	// conversations holds the latest turn of each conversation, by prefix.
 	conversations map[uint64]*Conversation
 }
 
 const (
-	// maxConversations bounds what is remembered; when it is reached, those
-	// older than conversationAge go, or else the new one is not remembered.
+	// maxConversations limits the conversations that are remembered. When it is reached, those
+	// older than conversationAge are dropped; if there are none, the new one is not remembered.
 	maxConversations = 4096
 	conversationAge  = 10 * time.Minute
 )
@@ -155,11 +159,12 @@
 	}
 	return &Registry{
 		c: c, hosts: make(map[string]inventory.Host), pools: make(map[identifier.Pool]*pool),
-		ids: make(map[lifeKey]int32), rests: make(map[lifeKey]time.Time), spared: make(map[lifeKey]time.Time), place: make(map[int32]int), conversations: make(map[uint64]*Conversation),
+		ids: make(map[incarnationKey]int32), backoffs: make(map[incarnationKey]time.Time), peerBackoffs: make(map[incarnationKey]time.Time), positions: make(map[int32]int), conversations: make(map[uint64]*Conversation),
 	}
 }
 
-func (r *Registry) each(f func(*candidate.Candidate)) {
+// forEach calls f for each candidate. The caller holds the lock.
+func (r *Registry) forEach(f func(*candidate.Candidate)) {
 	for _, p := range r.pools {
 		for i := range p.candidates {
 			f(&p.candidates[i])
@@ -167,11 +172,11 @@
 	}
 }
 
-// ApplyCacheEvent takes in an endpoint's cache event, which may be late.
+// ApplyCacheEvent applies a cache event of an endpoint, which may be late.
 func (r *Registry) ApplyCacheEvent(e identifier.Endpoint, b prefix.Block, stored bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.each(func(c *candidate.Candidate) {
+	r.forEach(func(c *candidate.Candidate) {
 		switch {
 		case c.Endpoint != e:
 		case stored:
@@ -182,28 +187,27 @@
 	})
 }
 
-// ApplyReport takes in a load report, taken at a time of this daemon's clock.
+// ApplyReport applies a load report that was taken at the given time of this daemon's clock.
 func (r *Registry) ApplyReport(l *report.Report, taken time.Time) {
 	r.mu.Lock()
 	var host identifier.Host
 	var incarnation identifier.Incarnation
-	r.each(func(c *candidate.Candidate) {
+	r.forEach(func(c *candidate.Candidate) {
 		if c.Endpoint != l.Endpoint || !taken.After(c.ReportedAt) {
 			return
 		}
 		c.Running, c.Queued, c.QueuedTokens, c.Model = l.Running, l.Queued, l.QueuedTokens, l.Model
 		c.ReportedAt, c.Reported = taken, true
-		c.Refresh(time.Now(), r.pools[c.Pool].pace)
+		c.Refresh(time.Now(), r.pools[c.Pool].parameters)
 		host, incarnation = c.Host, c.Incarnation
 	})
 	r.mu.Unlock()
 	if l.Leaving && host != "" {
-		r.MarkLeaving(host, incarnation, time.UnixMilli(unknownNotice))
+		r.MarkLeaving(host, incarnation, time.UnixMilli(unknownDeadline))
 	}
 }
 
-// Capacity returns how many requests a pool takes, given the bound for each
-// endpoint.
+// Capacity returns how many requests a pool accepts, given the limit for each endpoint.
 func (r *Registry) Capacity(name identifier.Pool, maxInFlight int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -220,7 +224,7 @@
 	return n
 }
 
-// Hosts returns a copy of the hosts that are listed.
+// Hosts returns a copy of the listed hosts, ordered by name.
 func (r *Registry) Hosts() []inventory.Host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -232,18 +236,18 @@
 	return out
 }
 
-// HostLeaving tells whether this life of a host is known to leave.
+// HostLeaving reports whether this incarnation of a host is known to be leaving.
 func (r *Registry) HostLeaving(h *inventory.Host) bool {
 	_, leaving := r.c.LeavingHosts.Leaving(h.Host, h.Incarnation)
 	return leaving
 }
 
-// ZoneCount counts the zones that list endpoints.
+// ZoneCount returns the number of zones with listed endpoints.
 func (r *Registry) ZoneCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	seen := make(map[identifier.AvailabilityZone]bool)
-	r.each(func(c *candidate.Candidate) { seen[c.AvailabilityZone] = true })
+	r.forEach(func(c *candidate.Candidate) { seen[c.AvailabilityZone] = true })
 	return len(seen)
 }
 
@@ -252,7 +256,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []candidate.Candidate
-	r.each(func(c *candidate.Candidate) { out = append(out, *c) })
+	r.forEach(func(c *candidate.Candidate) { out = append(out, *c) })
 	slices.SortFunc(out, func(a, b candidate.Candidate) int { return cmp.Compare(a.Endpoint, b.Endpoint) })
 	return out
 }
--- a/internal/route/registry/registry_test.go
+++ b/internal/route/registry/registry_test.go
@@ -14,16 +14,18 @@
 	"brasschute/internal/route/selector"
 )
 
+// newRegistry returns a registry that lists the given hosts.
 func newRegistry(t *testing.T, hosts ...string) *Registry {
 	t.Helper()
 	r := New(Config{LeavingHosts: membertracker.New(membertracker.Config{Self: &rpc.Member{Host: "entry"}})})
 	for _, h := range hosts {
-		list(t, r, h, 1, inventory.StateLive)
+		listHost(t, r, h, 1, inventory.StateLive)
 	}
 	return r
 }
 
-func list(t *testing.T, r *Registry, host string, incarnation identifier.Incarnation, s inventory.State) {
+// listHost lists a host with one endpoint, named after it.
+func listHost(t *testing.T, r *Registry, host string, incarnation identifier.Incarnation, s inventory.State) {
 	t.Helper()
 	value, err := json.Marshal(inventory.Host{
 		Host: identifier.Host(host), Incarnation: incarnation, State: s, AvailabilityZone: "z",
@@ -35,15 +37,16 @@
 	r.Apply(&object.Object{Key: inventory.HostPrefix + "z/" + host, Value: value})
 }
 
+// choose chooses an endpoint for a request without a model.
 func choose(r *Registry) *Pick {
 	pick, _ := r.Choose(&Query{Pool: "p", Select: selector.Query{Now: time.Now(), MaxInFlight: 100}})
 	return pick
 }
 
 func TestUsableAfterChoice(t *testing.T) {
-	// An endpoint is chosen; before the first byte goes out something happens
-	// to its host. The check at send time must see it, or new work reaches an
-	// endpoint that is leaving, or another process at the same address.
+	// Between the choice of an endpoint and the first byte something happens to its host. The check
+	// at send time must notice it, or new work reaches an endpoint that is leaving, or another
+	// process at the same address.
 	cases := []struct {
 		name   string
 		happen func(t *testing.T, r *Registry)
@@ -51,9 +54,9 @@
 	}{
 		{"nothing", func(*testing.T, *Registry) {}, true},
 		{"reclaim notice", func(_ *testing.T, r *Registry) { r.MarkLeaving("h", 1, time.Now()) }, false},
-		{"notice of an earlier life", func(_ *testing.T, r *Registry) { r.MarkLeaving("h", 0, time.Now()) }, true},
-		{"leaving in the host list", func(t *testing.T, r *Registry) { list(t, r, "h", 1, inventory.StateLeaving) }, false},
-		{"host replaced", func(t *testing.T, r *Registry) { list(t, r, "h", 2, inventory.StateLive) }, false},
+		{"notice of an earlier incarnation", func(_ *testing.T, r *Registry) { r.MarkLeaving("h", 0, time.Now()) }, true},
+		{"leaving in the host list", func(t *testing.T, r *Registry) { listHost(t, r, "h", 1, inventory.StateLeaving) }, false},
+		{"host replaced", func(t *testing.T, r *Registry) { listHost(t, r, "h", 2, inventory.StateLive) }, false},
 		{"host gone", func(_ *testing.T, r *Registry) {
 			r.Apply(&object.Object{Key: inventory.HostPrefix + "z/h", Deleted: true})
 		}, false},
@@ -64,7 +67,7 @@
 			pick := choose(r)
 			c.happen(t, r)
 			if got := r.Usable(pick); got != c.usable {
-				t.Errorf("usable: %t", got)
+				t.Errorf("usable at send time: %t", got)
 			}
 			r.Release(pick, Succeeded)
 		})
@@ -72,9 +75,8 @@
 }
 
 func TestEjection(t *testing.T) {
-	// All endpoints fail several times in a row. Never more than half of the
-	// pool may be ejected; after the pause each gets one request at a time,
-	// until one succeeds.
+	// All endpoints fail several times in a row. At most half of the pool may be ejected. After the
+	// ejection each endpoint gets one request at a time until one succeeds.
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t, "a", "b", "c", "d")
 		for range ejectAfter + 1 {
@@ -82,14 +84,14 @@
 				r.Release(r.PickEndpoint(c.Endpoint), Failed)
 			}
 		}
-		out := 0
+		ejected := 0
 		for _, c := range r.Endpoints() {
 			if c.Ejected(time.Now()) {
-				out++
+				ejected++
 			}
 		}
-		if out != 2 {
-			t.Fatalf("%d of 4 ejected", out)
+		if ejected != 2 {
+			t.Fatalf("%d of 4 endpoints ejected, want 2", ejected)
 		}
 		time.Sleep(time.Minute)
 		var probes []*Pick
@@ -97,42 +99,42 @@
 			probes = append(probes, pick)
 		}
 		if len(probes) != 4 {
-			t.Fatalf("%d probes at once", len(probes))
+			t.Fatalf("%d concurrent probes, want 4", len(probes))
 		}
 		r.Release(probes[0], Succeeded)
 		for range 5 {
 			if pick := choose(r); pick == nil || pick.Endpoint != probes[0].Endpoint {
-				t.Fatalf("not brought back: %v", pick)
+				t.Fatalf("chose %v, want the endpoint that succeeded", pick)
 			}
 		}
 	})
 }
 
-func TestUnreachableEndpointsAreLeftAtOnce(t *testing.T) {
-	// A zone is cut off. Each request of its daemons tried three endpoints
-	// beyond the cut one after the other, half a second each, and was then
-	// refused. One failed connection is enough to leave an endpoint for a
-	// while, and all of them may be left.
+func TestUnreachableEndpointsAreEjectedAtOnce(t *testing.T) {
+	// A zone is cut off. If several failures were needed to eject an endpoint, each request would
+	// try three endpoints in the unreachable zone in turn, half a second each, and then be refused.
+	// One failed connection must be enough to eject an endpoint for a while, and all of them may be
+	// ejected.
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t, "a", "b", "c", "d")
 		for range 4 {
 			pick := choose(r)
 			if pick == nil {
-				t.Fatal("left before it was tried")
+				t.Fatal("no endpoint chosen before all were tried")
 			}
 			r.Release(pick, Unreachable)
 		}
 		if pick := choose(r); pick != nil {
-			t.Fatalf("%s was chosen again at once", pick.Endpoint)
+			t.Fatalf("%s chosen again right after its ejection", pick.Endpoint)
 		}
 		time.Sleep(firstEject + refreshPause)
 		pick := choose(r)
 		if pick == nil {
-			t.Fatal("never tried again")
+			t.Fatal("no endpoint is probed after the ejection")
 		}
 		r.Release(pick, Succeeded)
 		if again := choose(r); again == nil || again.Endpoint != pick.Endpoint {
-			t.Fatal("not brought back by a success")
+			t.Fatal("a success does not end the probation")
 		}
 	})
 }
--- a/internal/route/registry/silence.go
+++ b/internal/route/registry/silence.go
@@ -6,18 +6,17 @@
 	"brasschute/internal/core/identifier"
 )
 
-// silentInZone is the number of silent endpoints from which on a zone of which nothing
-// else is heard is taken to be cut off, with those endpoints that run no stream of this
-// daemon.
+// silentInZone is the number of silent endpoints from which on a zone without any active stream is
+// considered partitioned. Its endpoints without streams of this daemon then count as silent, too.
 const silentInZone = 2
 
-// heard counts what is known of a zone's endpoints.
-type heard struct{ silent, talking int }
+// streamCounts counts the endpoints of a zone by the state of their streams.
+type streamCounts struct{ silent, streaming int }
 
-// listen marks the endpoints that have fallen silent. Where none would be left, none is
-// marked: then it is this daemon that was held up, or there is nothing better.
-func (p *pool) listen(now time.Time) {
-	zones := make(map[identifier.AvailabilityZone]heard)
+// markSilent marks the endpoints that have fallen silent. If no endpoint would be left, none is
+// marked: then this daemon itself was paused, or there is no better choice.
+func (p *pool) markSilent(now time.Time) {
+	zones := make(map[identifier.AvailabilityZone]streamCounts)
 	for i := range p.candidates {
 		c := &p.candidates[i]
 		z := zones[c.AvailabilityZone]
@@ -26,14 +25,14 @@
 		case c.Silent:
 			z.silent++
 		case c.Activity.Streaming():
-			z.talking++
+			z.streaming++
 		}
 		zones[c.AvailabilityZone] = z
 	}
 	left := 0
 	for i := range p.candidates {
 		c := &p.candidates[i]
-		if z := zones[c.AvailabilityZone]; z.silent >= silentInZone && z.talking == 0 {
+		if z := zones[c.AvailabilityZone]; z.silent >= silentInZone && z.streaming == 0 {
 			c.Silent = true
 		}
 		if !c.Silent && !c.Leaving && !c.Ejected(now) {
--- a/internal/route/registry/silence_test.go
+++ b/internal/route/registry/silence_test.go
@@ -25,8 +25,8 @@
 	r.Apply(&object.Object{Key: inventory.HostPrefix + zone + "/" + host, Value: value})
 }
 
-// pool lists three endpoints in each of four zones and starts a stream at the first two
-// of each.
+// streamingPool lists three endpoints in each of four zones and starts a stream at the first two of
+// each.
 func streamingPool(t *testing.T, r *Registry) map[string][]*Pick {
 	t.Helper()
 	streams := make(map[string][]*Pick)
@@ -44,8 +44,8 @@
 	return streams
 }
 
-// chosen counts the zones that a hundred requests are sent to.
-func chosen(r *Registry) map[string]int {
+// zonesChosen counts the requests that go to each zone, out of a hundred.
+func zonesChosen(r *Registry) map[string]int {
 	out := make(map[string]int)
 	for seed := range uint64(100) {
 		q := &Query{Pool: "p"}
@@ -58,14 +58,14 @@
 	return out
 }
 
-// One zone of four is cut off without a reset. Requests went on being sent there over
-// connections that were open, for three seconds, until the kernel gave them up: 25 of
-// them were lost. The streams from there fall silent at once.
-func TestCutZoneGetsNothingNew(t *testing.T) {
+// One zone of four is partitioned without a connection reset. Unless silent streams are detected,
+// requests continue to be sent there over open connections for three seconds, until the kernel
+// gives the connections up; 25 of them were lost.
+func TestPartitionedZoneGetsNoNewRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t)
 		streams := streamingPool(t, r)
-		beat := func(d time.Duration, zones ...string) {
+		stream := func(d time.Duration, zones ...string) {
 			for range d / (50 * time.Millisecond) {
 				time.Sleep(50 * time.Millisecond)
 				for _, zone := range zones {
@@ -75,41 +75,40 @@
 				}
 			}
 		}
-		beat(time.Second, "a", "b", "c", "d")
-		if got := chosen(r); got["d"] == 0 {
-			t.Errorf("%v: the zone is not used before the cut", got)
+		stream(time.Second, "a", "b", "c", "d")
+		if got := zonesChosen(r); got["d"] == 0 {
+			t.Errorf("%v: zone d is not used before the partition", got)
 		}
-		beat(600*time.Millisecond, "a", "b", "c")
-		if got := chosen(r); got["d"] != 0 || got["a"] == 0 {
-			t.Errorf("%v after 600 ms of silence", got)
+		stream(600*time.Millisecond, "a", "b", "c")
+		if got := zonesChosen(r); got["d"] != 0 || got["a"] == 0 {
+			t.Errorf("%v after 600 ms without events from zone d", got)
 		}
-		beat(200*time.Millisecond, "a", "b", "c", "d")
-		if got := chosen(r); got["d"] == 0 {
-			t.Errorf("%v: the zone is not used after the cut", got)
+		stream(200*time.Millisecond, "a", "b", "c", "d")
+		if got := zonesChosen(r); got["d"] == 0 {
+			t.Errorf("%v: zone d is not used after the partition", got)
 		}
 	})
 }
 
-// A daemon that was paused has heard nobody for a while. That says nothing of the
-// endpoints: to refuse everything until the next event would turn a pause into an
-// outage.
-func TestSilenceOfAllIsNoReason(t *testing.T) {
+// A daemon that was paused has received no event for a while. That says nothing about the
+// endpoints: refusing all requests until the next event would turn a pause into an outage.
+func TestSilenceOfAllEndpointsIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t)
 		streamingPool(t, r)
 		time.Sleep(5 * time.Second)
 		total := 0
-		for _, n := range chosen(r) {
+		for _, n := range zonesChosen(r) {
 			total += n
 		}
 		if total != 100 {
-			t.Errorf("%d of 100 requests find an endpoint after a pause", total)
+			t.Errorf("%d of 100 requests find an endpoint after a pause, want all", total)
 		}
 	})
 }
 
-// An endpoint whose streams have ended is not silent, it has nothing to say.
-func TestEndedStreamsAreNotSilence(t *testing.T) {
+// An endpoint whose streams have ended delivers no events and must not count as silent.
+func TestEndedStreamsDoNotCountAsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t)
 		streams := streamingPool(t, r)
@@ -124,7 +123,7 @@
 				}
 			}
 		}
-		if got := chosen(r); got["d"] == 0 {
+		if got := zonesChosen(r); got["d"] == 0 {
 			t.Errorf("%v: an idle zone is not used", got)
 		}
 	})
--- a/internal/route/registry/version.go
+++ b/internal/route/registry/version.go
@@ -7,8 +7,8 @@
 	"brasschute/internal/core/identifier"
 )
 
-// rank counts a pool's endpoints by version, and gives each its place among those of its own,
-// by a hash that is the same at all daemons.
+// rank counts a pool's endpoints by version and ranks each among those of its version, by a hash
+// that is the same at all daemons.
 func (p *pool) rank() {
 	p.versions = make(map[identifier.Version]int)
 	order := make([]int, len(p.candidates))
@@ -16,26 +16,27 @@
 		order[i] = i
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Compare(p.candidates[a].Hash, p.candidates[b].Hash) })
-	places := make(map[identifier.Version]int32)
+	ranks := make(map[identifier.Version]int32)
 	for _, i := range order {
 		c := &p.candidates[i]
 		if c.Leaving {
 			continue
 		}
-		c.VersionRank = places[c.Version]
-		places[c.Version]++
+		c.VersionRank = ranks[c.Version]
+		ranks[c.Version]++
 		p.versions[c.Version]++
 	}
-	p.usualVersion = ""
+	p.majorityVersion = ""
 	for version, n := range p.versions {
-		most := p.versions[p.usualVersion]
-		if n > most || n == most && version < p.usualVersion {
-			p.usualVersion = version
+		most := p.versions[p.majorityVersion]
+		if n > most || n == most && version < p.majorityVersion {
+			p.majorityVersion = version
 		}
 	}
 }
 
-// VersionCounts counts the endpoints of a pool by version, without those that are leaving.
+// VersionCounts returns the number of endpoints of a pool by version, without those that are
+// leaving.
 func (r *Registry) VersionCounts(name identifier.Pool) map[identifier.Version]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
