--- a/internal/route/splitter/grant.go
+++ b/internal/route/splitter/grant.go
@@ -8,25 +8,26 @@
 )
 
 const (
-	// grantTime is how long a grant holds: longer than news takes through a fleet (p99
-	// 1.4 s). Of the time in which a bad version must be left it is grantPart at the most.
-	grantTime = 2500 * time.Millisecond
-	grantPart = 0.5
+	// grantTime is how long a grant is valid: longer than gossip takes to cross the fleet (p99 1.4
+	// s). It is limited to grantFraction of the time in which a bad version must be reverted.
+	grantTime     = 2500 * time.Millisecond
+	grantFraction = 0.5
 )
 
-// Grant is what the holder of the duties says of an order.
+// Grant is the lease holder's current decision about a roll-out order.
 type Grant struct {
 	Service identifier.Service
 	Target  identifier.Version
 	Order   uint64
 	Phase   rollout.Phase
-	// Fencing and Sequence tell which of two is newer.
+	// Fencing, the holder's fencing number, and then Sequence tell which of two grants is newer.
 	Fencing, Sequence uint64
-	// IssuedAt is when the holder said so, OldEndAt when the old endpoints are to end, by this
-	// daemon's clock.
+	// IssuedAt is when the holder issued the grant. OldEndAt is when the old endpoints are due to
+	// end. Both are times of this daemon's clock.
 	IssuedAt, OldEndAt time.Time
 }
 
+// newer reports whether g was issued after than.
 func (g *Grant) newer(than *Grant) bool {
 	if g.Fencing != than.Fencing {
 		return g.Fencing > than.Fencing
@@ -34,7 +35,9 @@
 	return g.Sequence > than.Sequence
 }
 
-// ApplyGrant takes in what the holder said, from it or passed on by another daemon.
+// ApplyGrant applies a grant that came from the holder or was passed on by another daemon. It
+// reports whether the phase of the roll-out changed. The furthest known phase is kept even if the
+// grant is older.
 func (s *Splitter) ApplyGrant(g *Grant, source string) (news bool) {
 	s.mu.Lock()
 	v := s.services[g.Service]
@@ -55,12 +58,12 @@
 	c, changed := v.change(before, source, now, now.Sub(g.IssuedAt))
 	s.mu.Unlock()
 	if changed {
-		s.tell([]PhaseChange{c})
+		s.notify([]PhaseChange{c})
 	}
 	return changed
 }
 
-// Grants returns what is known of all orders, to be passed on.
+// Grants returns the grants of all orders, to be passed on to other daemons.
 func (s *Splitter) Grants() []Grant {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,14 +76,15 @@
 	return out
 }
 
-// granted tells whether the holder has lately said to go on.
+// granted reports whether the holder has granted the roll-out recently enough.
 func (s *Splitter) granted(v *service, now time.Time) bool {
 	return v.grant.Order == v.order.OrderID() && now.Sub(v.grant.IssuedAt) < s.grantTime()
 }
 
+// grantTime returns how long a grant is valid, given the configured RollbackTime.
 func (s *Splitter) grantTime() time.Duration {
 	if s.c.RollbackTime <= 0 {
 		return grantTime
 	}
-	return min(grantTime, time.Duration(grantPart*float64(s.c.RollbackTime)))
+	return min(grantTime, time.Duration(grantFraction*float64(s.c.RollbackTime)))
 }
--- a/internal/route/splitter/order.go
+++ b/internal/route/splitter/order.go
@@ -9,40 +9,41 @@
 	"brasschute/internal/core/identifier"
 )
 
-// PhaseChange is a change of what this daemon takes for the phase of a roll-out.
+// PhaseChange is a change of the phase of a roll-out as this daemon knows it.
 type PhaseChange struct {
 	Service       identifier.Service
 	Target        identifier.Version
 	Order         uint64
 	Before, After rollout.Phase
-	// Source is the store or the host that said so, Age how long ago it was said.
+	// Source is the store or the host that reported the phase. Age is the time since the report.
 	Source string
 	Age    time.Duration
 }
 
-// service is one whose roll-out was ordered.
+// service is the state of a service with a roll-out order.
 type service struct {
 	order rollout.Rollout
-	// left are versions of earlier orders that did not become complete. former is the stored
-	// phase of an earlier order of the same version: until another one is stored, the store
-	// has none of this order.
-	left   map[identifier.Version]bool
-	former rollout.Phase
-	grant  Grant
-	// earned is what is left to spend on trials, moves on requests that outlast; asked
-	// counts requests since the order, routes them by route.
-	earned, moves float64
-	asked         int
-	routes        map[string]int
-	// ordered is when the order came, changed when its phase last did.
-	ordered, changed time.Time
-	tally            map[tallyKey]*Tally
-	// usual is by route.
+	// abandoned holds the target versions of earlier orders that did not become complete.
+	// previousStored is the stored phase of an earlier order of the same version: until another
+	// phase is stored, the store has none of this order.
+	abandoned      map[identifier.Version]bool
+	previousStored rollout.Phase
+	grant          Grant
+	// canaryBudget is the number of canary requests that may still be sent. moveBudget is the
+	// number of requests that may still move to the version because they would outlast the old
+	// endpoints. requests counts requests since the order, routes counts them by route.
+	canaryBudget, moveBudget float64
+	requests                 int
+	routes                   map[string]int
+	// orderedAt is when the order became known, changedAt when its phase last changed.
+	orderedAt, changedAt time.Time
+	tally                map[tallyKey]*Tally
+	// usual holds the usual duration of answers, by route.
 	usual map[string]usual
 }
 
-// ApplyOrders takes in the orders as they are stored; a nil one is not stored any more. source says
-// who told.
+// ApplyOrders applies stored roll-out orders. A nil order has been removed from the store. source
+// names where the orders came from.
 func (s *Splitter) ApplyOrders(orders map[identifier.Service]*rollout.Rollout, source string) {
 	var changes []PhaseChange
 	s.mu.Lock()
@@ -52,30 +53,31 @@
 			delete(s.services, name)
 			continue
 		}
-		if c, changed := s.put(r, source, now); changed {
+		if c, changed := s.apply(r, source, now); changed {
 			changes = append(changes, c)
 		}
 	}
 	s.known = true
 	s.mu.Unlock()
-	s.tell(changes)
+	s.notify(changes)
 }
 
-// OrdersKnown tells whether the orders are known, be there some or none.
+// OrdersKnown reports whether the orders have been read, even if there are none.
 func (s *Splitter) OrdersKnown() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.known
 }
 
-func (s *Splitter) tell(changes []PhaseChange) {
+// notify calls OnPhaseChange for each change. The caller must not hold the lock.
+func (s *Splitter) notify(changes []PhaseChange) {
 	for _, c := range changes {
 		s.c.OnPhaseChange(c)
 	}
 }
 
-// put takes in one order. The caller holds the lock.
-func (s *Splitter) put(r *rollout.Rollout, source string, now time.Time) (PhaseChange, bool) {
+// apply applies one order. The caller holds the lock.
+func (s *Splitter) apply(r *rollout.Rollout, source string, now time.Time) (PhaseChange, bool) {
 	v := s.services[r.Service]
 	switch {
 	case v == nil:
@@ -85,41 +87,43 @@
 	case r.OrderID() != v.order.OrderID():
 		before := v
 		v = s.begin(r, now)
-		v.left = before.left
+		v.abandoned = before.abandoned
 		if r.Target == before.order.Target {
-			v.former, v.order.Stored = r.Stored, rollout.Ordered
+			v.previousStored, v.order.Stored = r.Stored, rollout.Ordered
 		} else if before.phase() != rollout.Complete {
-			v.left[before.order.Target] = true
+			v.abandoned[before.order.Target] = true
 		}
-		delete(v.left, r.Target)
+		delete(v.abandoned, r.Target)
 	default:
 		before := v.phase()
 		v.order.Revision = r.Revision
-		if r.Stored != v.former {
-			v.former, v.order.Stored = rollout.Ordered, max(v.order.Stored, r.Stored)
+		if r.Stored != v.previousStored {
+			v.previousStored, v.order.Stored = rollout.Ordered, max(v.order.Stored, r.Stored)
 		}
 		return v.change(before, source, now, 0)
 	}
 	return PhaseChange{Service: r.Service, Target: r.Target, Order: r.OrderID(), After: v.phase(), Source: source}, true
 }
 
+// begin starts the state of a new order. The caller holds the lock.
 func (s *Splitter) begin(r *rollout.Rollout, now time.Time) *service {
 	v := &service{
-		order: *r, left: make(map[identifier.Version]bool), routes: make(map[string]int), ordered: now, changed: now,
+		order: *r, abandoned: make(map[identifier.Version]bool), routes: make(map[string]int), orderedAt: now, changedAt: now,
 		tally: make(map[tallyKey]*Tally), usual: make(map[string]usual),
-		// At the order, what is earned stands anywhere between nothing and a whole trial,
-		// so that all daemons together send neither more nor fewer than they earn.
-		earned: s.c.Random(), moves: s.c.Random(),
+		// The budgets start anywhere between zero and one request, so that all daemons together
+		// send neither more nor fewer requests than they have earned.
+		canaryBudget: s.c.Random(), moveBudget: s.c.Random(),
 	}
 	if s.known {
-		// A process that starts during an order takes nothing: others were dealt its part.
-		v.earned += slackPart * s.c.CanarySlack / float64(max(s.c.Daemons(), 1))
+		// A process that starts during an order gets no part of the slack, which has been divided
+		// among the others.
+		v.canaryBudget += slackFraction * s.c.CanarySlack / float64(max(s.c.Daemons(), 1))
 	}
 	s.services[r.Service] = v
 	return v
 }
 
-// phase is the furthest that is known, from the store or the holder.
+// phase returns the furthest phase that the store or the holder has reported.
 func (v *service) phase() rollout.Phase {
 	if v.grant.Order == v.order.OrderID() {
 		return max(v.order.Stored, v.grant.Phase)
@@ -127,37 +131,42 @@
 	return v.order.Stored
 }
 
+// change returns the change of the phase since before, and whether there is one. age is the time since
+// source reported it.
 func (v *service) change(before rollout.Phase, source string, now time.Time, age time.Duration) (PhaseChange, bool) {
 	after := v.phase()
 	if after != before {
-		v.changed = now
+		v.changedAt = now
 	}
 	return PhaseChange{
 		Service: v.order.Service, Target: v.order.Target, Order: v.order.OrderID(), Before: before, After: after, Source: source, Age: age,
 	}, after != before
 }
 
-// Order is one that this daemon knows.
+// Order is a roll-out order as this daemon knows it.
 type Order struct {
-	// Rollout has the furthest phase that is known.
+	// Rollout has the furthest known phase.
 	rollout.Rollout
-	// LearnedAt is when this daemon learned of it, GrantedAt when the holder last said to go on.
+	// LearnedAt is when this daemon learned of the order. GrantedAt is when the holder issued the
+	// last grant.
 	LearnedAt, GrantedAt time.Time
-	// OldEndAt is when the old endpoints are to end, as the holder said last; zero if none did.
+	// OldEndAt is when the old endpoints are due to end, according to the last grant; zero without
+	// a grant.
 	OldEndAt time.Time
-	// Requests counts this daemon's requests since then, Earned what is left to spend on trials.
-	Requests  int
+	// Requests counts this daemon's requests since LearnedAt. CanaryBudget is the number of canary
+	// requests that it may still send.
+	Requests     int
 	CanaryBudget float64
 }
 
-// Orders returns the orders as they are known, by service.
+// Orders returns the known orders, ordered by service.
 func (s *Splitter) Orders() []Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Order
 	for _, name := range slices.Sorted(maps.Keys(s.services)) {
 		v := s.services[name]
-		o := Order{Rollout: v.order, LearnedAt: v.ordered, Requests: v.asked, CanaryBudget: v.earned}
+		o := Order{Rollout: v.order, LearnedAt: v.orderedAt, Requests: v.requests, CanaryBudget: v.canaryBudget}
 		o.Phase = v.phase()
 		if v.grant.Order == o.OrderID() {
 			o.GrantedAt, o.OldEndAt = v.grant.IssuedAt, v.grant.OldEndAt
--- a/internal/route/splitter/splitter.go
+++ b/internal/route/splitter/splitter.go
@@ -1,34 +1,34 @@
-// Package splitter decides, at each daemon, which version of a service's endpoints a request
-// may go to while the service is rolled out.
+// Package splitter splits the requests for a service between the versions of its endpoints during a
+// roll-out.
 //
-// # The share that each daemon keeps by itself
+// # Canary share
 //
-// A version that is tried may be bad, and how much of all requests it gets is a sum over the
-// fleet that nobody knows in time. So each daemon earns a part of a trial with each request
-// for the service, and a trial costs a whole one: what all daemons send to the version
-// together is a share of what all have seen, whoever is cut off, starts anew or has few
-// clients. Where daemons see few requests, a part of what is tolerated beyond the share is
-// dealt out among them at the order.
+// A new version may be bad, and its share of all requests is a sum over the fleet that no daemon
+// knows in time. Each daemon therefore earns a fraction of a canary request with each request for
+// the service, and a canary request costs one whole unit. All daemons together then send the
+// version a fixed share of the requests that they have received, even if some are partitioned,
+// restarted or have few clients. Because daemons with few requests would earn too little, part of
+// the tolerated slack beyond the share is divided among the daemons when the order arrives.
 //
-// Trials are spread evenly over the routes of a service: a version may be bad on one only.
-// They go to a few endpoints of the version, each of which then does as much as an old one
-// does: a version may be bad under load only.
+// Canary requests are spread evenly over the routes of a service, because a version may be bad on
+// one route only. They go to a few endpoints of the version, each of which is then as loaded as an
+// old one, because a version may be bad under load only.
 //
-// # Who says go on
+// # Grants
 //
-// The holder of the duties says how far a roll-out has come, several times a second
-// ([Grant]). A daemon that has not heard so for [grantTime] sends nothing to the version:
-// whoever is cut off, or whose holder has died, goes on with the old endpoints. That a
-// version was reverted is never forgotten and outdoes all else.
+// The lease holder decides how far a roll-out has come and issues a [Grant] several times a second.
+// A daemon that has received no grant for [grantTime] sends nothing to the new version: if the
+// daemon is partitioned or the holder has died, the old endpoints serve. A revert is never
+// forgotten and overrides everything else.
 //
 // # Usage
 //
-//	s.Put(orders, source)               // from the store
-//	s.Hear(&grant, source)              // from the holder, or passed on
-//	versions := s.Choose(&ask)          // for each choice of an endpoint
+//	s.ApplyOrders(orders, source)        // from the store
+//	s.ApplyGrant(&grant, source)         // from the holder, or passed on
+//	versions := s.Choose(&query)         // for each choice of an endpoint
 //	if s.Blocked(service, version) {...} // right before the first byte
 //	s.RunStarted(&run)
-//	s.RunEnded(&run)                       // what came of it
+//	s.RunEnded(&run)                     // with the outcome
 package splitter
 
 import (
@@ -42,76 +42,79 @@
 )
 
 const (
-	// The share is for trials and for requests that would outlast the old endpoints. What
-	// trials show depends on their number, so they are a part of all requests that makes
-	// enoughTries until the deadline, tryPart of the share at the most and leastTries at the
-	// least: few endpoints must be as busy with them as the old ones are.
-	enoughTries = 300
-	tryPart     = 0.4
-	leastTries  = 0.015
-	// fewFactor times the part of all requests that trials are is the part of the endpoints
-	// that they go to, leastFew at the least.
-	fewFactor = 1.5
-	leastFew  = 2
-	// shareMargin is kept of the share for clocks and counts that differ.
+	// The share covers canary requests and requests that would outlast the old endpoints. The
+	// evidence from canary requests depends on their number. They are therefore the fraction of all
+	// requests that gives canaryRequests until the deadline, at most maxCanaryFraction of the share
+	// and at least minCanaryFraction of all requests: a few endpoints must be as busy with them as
+	// the old ones are.
+	canaryRequests    = 300
+	maxCanaryFraction = 0.4
+	minCanaryFraction = 0.015
+	// The part of the endpoints that canary requests go to is endpointFactor times the part of all
+	// requests that they are; minCanaryEndpoints at least.
+	endpointFactor     = 1.5
+	minCanaryEndpoints = 2
+	// shareMargin is subtracted from the share to allow for differences between clocks and between
+	// counts.
 	shareMargin = 0.005
-	// slackPart of what is tolerated beyond the share is dealt out.
-	slackPart = 0.5
-	// pressTime is the time in which what was earned before there was an endpoint of the
-	// version is spent.
-	pressTime = 4 * time.Second
-	// mostChance is the most of the requests that try the version meanwhile.
-	mostChance = 0.25
-	// listTime is how long endpoints that have ended may still be listed.
+	// slackFraction of the slack is divided among the daemons.
+	slackFraction = 0.5
+	// catchUpTime is the time in which the budget earned before the version had an endpoint is
+	// spent.
+	catchUpTime = 4 * time.Second
+	// maxCatchUpChance is the maximum fraction of requests that go to the version meanwhile.
+	maxCatchUpChance = 0.25
+	// listTime is how long endpoints may remain listed after they have ended.
 	listTime = 10 * time.Second
-	// mostRoutes bounds the routes that are told apart in a service.
-	mostRoutes = 64
+	// maxRoutes limits the routes of a service that are counted separately.
+	maxRoutes = 64
 )
 
-// Config says what a version that is tried may get.
+// Config holds the limits of a roll-out and the dependencies of a splitter.
 type Config struct {
-	// CanaryShare of all requests for a service, and Slack requests beyond it.
+	// CanaryShare is the share of all requests for a service that may go to an unproven version.
+	// CanarySlack is the number of requests tolerated beyond it.
 	CanaryShare float64
 	CanarySlack float64
-	// RollbackTime is the time in which a version that is bad must be left; 0 for any.
+	// RollbackTime is the time within which a bad version must be abandoned; 0 for no limit.
 	RollbackTime time.Duration
-	// Now is a clock that goes on while the host is suspended, as those who are told when
-	// the holder spoke; time.Now if nil.
+	// Now returns the current time of a clock that continues while the host is suspended, because
+	// others compare its times with those of the holder; time.Now if nil.
 	Now func() time.Time
-	// Daemons estimates the number of daemons; one if nil.
+	// Daemons returns the estimated number of daemons; 1 if nil.
 	Daemons func() int
-	// Endpoints counts a service's endpoints by version; may be nil.
+	// Endpoints counts the endpoints of a service by version; may be nil.
 	Endpoints func(identifier.Service) map[identifier.Version]int
-	// Random draws a number of at least 0 and below 1; the runtime's source if nil.
+	// Random returns a number in [0, 1); rand.Float64 if nil.
 	Random func() float64
-	// OnPhaseChange is told of each change of a phase; may be nil.
+	// OnPhaseChange is called for each phase change; may be nil.
 	OnPhaseChange func(PhaseChange)
-	// OnAnswer is told of each answer that counts, of a version that is rolled out (isTarget)
-	// or another one; may be nil.
+	// OnAnswer is called for each answer that counts, either of the version that is rolled out
+	// (isTarget) or of another one; may be nil.
 	OnAnswer func(r *Run, isTarget, slow bool)
 }
 
-// Query is a request that is to be sent.
+// Query describes a request that is about to be sent.
 type Query struct {
 	Service identifier.Service
 	Route   string
-	// Repeated: it was sent before, or has been decided on.
+	// Repeated: the request was sent before, or has been decided on.
 	Repeated bool
-	// MaxDuration is how long its answer may take.
+	// MaxDuration is how long the answer may take.
 	MaxDuration time.Duration
 }
 
-// Splitter is safe for concurrent use.
+// Splitter decides which versions requests may go to. It is safe for concurrent use.
 type Splitter struct {
 	c Config
 
 	mu sync.Mutex
-	// known: the orders have been read once.
+	// known: the orders have been read at least once.
 	known    bool
 	services map[identifier.Service]*service
 }
 
-// New returns a splitter that knows no orders.
+// New returns a splitter without orders.
 func New(c Config) *Splitter {
 	if c.Daemons == nil {
 		c.Daemons = func() int { return 1 }
@@ -134,18 +137,18 @@
 	return &Splitter{c: c, services: make(map[identifier.Service]*service)}
 }
 
-// Choose says which versions a request may go to.
-func (s *Splitter) Choose(a *Query) selector.VersionFilter {
+// Choose returns the versions that a request may go to.
+func (s *Splitter) Choose(q *Query) selector.VersionFilter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	v := s.services[a.Service]
+	v := s.services[q.Service]
 	if v == nil {
-		// Whether there are orders is not known yet: then the version that most endpoints have.
+		// Without knowledge of the orders, the version that most endpoints run is used.
 		return selector.VersionFilter{MajorityOnly: !s.known}
 	}
 	now := s.c.Now()
-	if !a.Repeated {
-		s.earn(v, a.Route)
+	if !q.Repeated {
+		s.countRequest(v, q.Route)
 	}
 	target, old := v.order.Target, v.old()
 	switch p := v.phase(); {
@@ -157,93 +160,95 @@
 		return old
 	case p == rollout.Switching:
 		return selector.VersionFilter{Only: target, AllowFallback: true}
-	case a.Repeated:
+	case q.Repeated:
 		return old
-	case p == rollout.Moving && v.outlasts(a, now) && v.moves+v.earned >= 1:
-		// What is left of the trials is spent, too: there are enough by now.
-		v.moves--
+	case p == rollout.Moving && v.outlasts(q, now) && v.moveBudget+v.canaryBudget >= 1:
+		// The rest of the canary budget is spent, too: there have been enough canary requests by
+		// now.
+		v.moveBudget--
 		return selector.VersionFilter{Only: target, AllowFallback: true}
-	case p >= rollout.Trying && s.tries(v, a, now):
-		v.earned--
-		return selector.VersionFilter{Only: target, MaxEndpoints: s.few(v), AllowFallback: true}
+	case p >= rollout.Trying && s.isCanary(v, q, now):
+		v.canaryBudget--
+		return selector.VersionFilter{Only: target, MaxEndpoints: s.canaryEndpoints(v), AllowFallback: true}
 	}
 	return old
 }
 
-// old are the versions that were there before.
+// old allows the versions from before the roll-out.
 func (v *service) old() selector.VersionFilter {
 	out := v.others()
 	out.Except = append(out.Except, v.order.Target)
 	return out
 }
 
-// others are all versions but those of earlier orders that did not become complete.
+// others allows all versions except those of earlier orders that did not become complete.
 func (v *service) others() selector.VersionFilter {
 	out := selector.VersionFilter{}
-	for version := range v.left {
+	for version := range v.abandoned {
 		out.Except = append(out.Except, version)
 	}
 	return out
 }
 
-// settling tells whether the old endpoints of a version that is complete may still be listed:
-// they end at once, and their records some heartbeats later.
-func (v *service) settling(now time.Time) bool { return now.Sub(v.changed) < listTime }
+// settling reports whether the old endpoints may still be listed after the roll-out is complete:
+// they end at once, and their records a few heartbeats later.
+func (v *service) settling(now time.Time) bool { return now.Sub(v.changedAt) < listTime }
 
-// earn takes in a request for a service.
-func (s *Splitter) earn(v *service, route string) {
+// countRequest counts a request for a service and adds to the budgets.
+func (s *Splitter) countRequest(v *service, route string) {
 	if v.phase().IsFinal() {
 		return
 	}
-	v.asked++
-	if _, known := v.routes[route]; known || len(v.routes) < mostRoutes {
+	v.requests++
+	if _, known := v.routes[route]; known || len(v.routes) < maxRoutes {
 		v.routes[route]++
 	}
-	tries, moves := s.shares(v)
-	v.earned += tries
-	v.moves += moves
+	canary, move := s.fractions(v)
+	v.canaryBudget += canary
+	v.moveBudget += move
 }
 
-// shares are the parts of all requests that may try the version, and that may move to it
-// before all do.
-func (s *Splitter) shares(v *service) (tries, moves float64) {
-	left := s.c.CanaryShare - shareMargin - v.order.CutoverLead(s.c.CanaryShare).Seconds()/v.order.Duration.Seconds()
-	all := v.perSecond(s.c.Now()) * float64(max(s.c.Daemons(), 1)) * v.order.Duration.Seconds()
-	tries = max(min(enoughTries/max(all, 1), tryPart*left), leastTries)
-	return tries, max(left-tries, 0)
+// fractions returns the fraction of all requests that may be canary requests, and the fraction that
+// may move to the version before all do.
+func (s *Splitter) fractions(v *service) (canary, move float64) {
+	available := s.c.CanaryShare - shareMargin - v.order.CutoverLead(s.c.CanaryShare).Seconds()/v.order.Duration.Seconds()
+	expected := v.requestRate(s.c.Now()) * float64(max(s.c.Daemons(), 1)) * v.order.Duration.Seconds()
+	canary = max(min(canaryRequests/max(expected, 1), maxCanaryFraction*available), minCanaryFraction)
+	return canary, max(available-canary, 0)
 }
 
-// perSecond is how many requests this daemon has seen a second since the order.
-func (v *service) perSecond(now time.Time) float64 {
-	return float64(v.asked) / max(now.Sub(v.ordered).Seconds(), 1)
+// requestRate returns the requests per second that this daemon has seen since the order.
+func (v *service) requestRate(now time.Time) float64 {
+	return float64(v.requests) / max(now.Sub(v.orderedAt).Seconds(), 1)
 }
 
-// tries tells whether a request is one of those that try the version: as many of each route.
-func (s *Splitter) tries(v *service, a *Query, now time.Time) bool {
-	if v.earned < 1 || v.moves+v.earned < 1 {
+// isCanary reports whether a request becomes a canary request: equally many of each route do.
+func (s *Splitter) isCanary(v *service, q *Query, now time.Time) bool {
+	if v.canaryBudget < 1 || v.moveBudget+v.canaryBudget < 1 {
 		return false
 	}
-	// What was earned before there was an endpoint is spent within a while.
-	chance := min(max(leastTries, v.earned/(pressTime.Seconds()*v.perSecond(now))), mostChance)
-	even := float64(v.asked) / float64(len(v.routes)) / float64(max(v.routes[a.Route], 1))
-	return s.c.Random() < chance*even
+	// The budget earned before the version had an endpoint is spent within catchUpTime.
+	chance := min(max(minCanaryFraction, v.canaryBudget/(catchUpTime.Seconds()*v.requestRate(now))), maxCatchUpChance)
+	evenness := float64(v.requests) / float64(len(v.routes)) / float64(max(v.routes[q.Route], 1))
+	return s.c.Random() < chance*evenness
 }
 
-// few is the number of endpoints that try the version: each does about what an old one does
-// while what was earned before is spent, and there is another one to compare it with.
-func (s *Splitter) few(v *service) int {
+// canaryEndpoints returns the number of endpoints that serve canary requests. Each is then about as
+// busy as an old one, also while the budget earned earlier is spent, and there is a second one to
+// compare it with.
+func (s *Splitter) canaryEndpoints(v *service) int {
 	old := v.order.CountOld(s.c.Endpoints(v.order.Service))
-	tries, _ := s.shares(v)
-	return max(int(fewFactor*tries*float64(old)+0.5), leastFew)
+	canary, _ := s.fractions(v)
+	return max(int(endpointFactor*canary*float64(old)+0.5), minCanaryEndpoints)
 }
 
-// outlasts tells whether a request may still run when the old endpoints end.
-func (v *service) outlasts(a *Query, now time.Time) bool {
-	return now.Add(a.MaxDuration).After(v.grant.OldEndAt)
+// outlasts reports whether a request may still be running when the old endpoints end.
+func (v *service) outlasts(q *Query, now time.Time) bool {
+	return now.Add(q.MaxDuration).After(v.grant.OldEndAt)
 }
 
-// Fallback gives back what a request was granted that found no endpoint of the version, and
-// says where else it may go.
+// Fallback returns the versions to use instead if no endpoint of the granted versions can serve. It
+// gives back the budget that a canary request took.
 func (s *Splitter) Fallback(name identifier.Service, granted *selector.VersionFilter) selector.VersionFilter {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -252,13 +257,13 @@
 		return selector.VersionFilter{}
 	}
 	if granted.MaxEndpoints > 0 {
-		v.earned++
+		v.canaryBudget++
 	}
 	return v.old()
 }
 
-// Blocked tells whether an endpoint of a version may not get a request now, though it was
-// chosen for it.
+// Blocked reports whether a request must not be sent to an endpoint of a version now, even if the
+// endpoint was chosen for it.
 func (s *Splitter) Blocked(name identifier.Service, version identifier.Version) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -267,13 +272,13 @@
 		return false
 	}
 	if version != v.order.Target {
-		return v.left[version]
+		return v.abandoned[version]
 	}
 	p := v.phase()
 	return p != rollout.Complete && (p == rollout.Reverted || p == rollout.Ordered || !s.granted(v, s.c.Now()))
 }
 
-// CountsTowardsSize tells whether endpoints of a version count for the size of a service.
+// CountsTowardsSize reports whether endpoints of a version count towards the size of a service.
 func (s *Splitter) CountsTowardsSize(name identifier.Service, version identifier.Version) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -286,5 +291,5 @@
 	case v.phase() == rollout.Complete && v.settling(s.c.Now()):
 		return false
 	}
-	return !v.left[version]
+	return !v.abandoned[version]
 }
--- a/internal/route/splitter/splitter_test.go
+++ b/internal/route/splitter/splitter_test.go
@@ -20,6 +20,7 @@
 	r    *rollout.Rollout
 }
 
+// newDaemons returns n splitters without orders.
 func newDaemons(n int, random func() float64) *daemons {
 	d := &daemons{now: time.Unix(1e9, 0), r: &rollout.Rollout{Service: lm, Target: "v2", Duration: 30 * time.Second, Revision: 1}}
 	for range n {
@@ -35,29 +36,30 @@
 	return d
 }
 
-func (d *daemons) put(s *Splitter) {
+// applyOrder applies the current state of the order to one splitter.
+func (d *daemons) applyOrder(s *Splitter) {
 	r := *d.r
 	s.ApplyOrders(map[identifier.Service]*rollout.Rollout{lm: &r}, "store")
 }
 
-func ask(s *Splitter) selector.VersionFilter {
+// choose sends one request and returns the versions that it may go to.
+func choose(s *Splitter) selector.VersionFilter {
 	return s.Choose(&Query{Service: lm, Route: "letters", MaxDuration: time.Second})
 }
 
-// News of an order comes late, twice, in any order and from holders that succeed each other,
-// and daemons start anew. No daemon takes back that a version is reverted or complete, none
-// sends anything to a version without a fresh word of the holder, and what all together send
-// to it while it is tried stays within its share.
-func TestNewsOfRolloutsInAnyOrder(t *testing.T) {
+// Grants arrive late, twice, in any order and from successive lease holders, and daemons restart.
+// No daemon may leave the state reverted or complete, or send to a version without a recent grant.
+// All daemons together must keep the canary requests within the share.
+func TestGrantsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const n = 5
 		random := func() float64 { return float64(rapid.IntRange(0, 999).Draw(t, "random")) / 1000 }
 		d := newDaemons(n, random)
 		for _, s := range d.list {
-			d.put(s)
+			d.applyOrder(s)
 		}
-		var said []Grant
-		phase, beat, sent, tried := rollout.Trying, uint64(0), 0, 0
+		var grants []Grant
+		phase, sequence, sent, canaries := rollout.Trying, uint64(0), 0, 0
 		final := make([]rollout.Phase, n)
 		last := make([]time.Time, n)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -66,12 +68,12 @@
 			s := d.list[i]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				beat++
+				sequence++
 				fencing := uint64(1 + rapid.IntRange(0, 1).Draw(t, "holder"))
-				said = append(said, Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: phase, Fencing: fencing, Sequence: beat, IssuedAt: d.now, OldEndAt: d.now.Add(time.Minute)})
+				grants = append(grants, Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: phase, Fencing: fencing, Sequence: sequence, IssuedAt: d.now, OldEndAt: d.now.Add(time.Minute)})
 			case 1, 2:
-				if len(said) > 0 {
-					g := said[rapid.IntRange(0, len(said)-1).Draw(t, "news")]
+				if len(grants) > 0 {
+					g := grants[rapid.IntRange(0, len(grants)-1).Draw(t, "news")]
 					s.ApplyGrant(&g, "peer")
 					if g.IssuedAt.After(last[i]) {
 						last[i] = g.IssuedAt
@@ -86,97 +88,97 @@
 				}
 			default:
 				sent++
-				if v := ask(s); v.Only == "v2" {
-					tried++
+				if v := choose(s); v.Only == "v2" {
+					canaries++
 					if d.now.Sub(last[i]) >= grantTime {
-						t.Fatalf("tried %v after the holder's last word", d.now.Sub(last[i]))
+						t.Fatalf("canary request %v after the last grant", d.now.Sub(last[i]))
 					}
 					if final[i] == rollout.Reverted {
-						t.Fatal("tried after it was reverted")
+						t.Fatal("canary request after the version was reverted")
 					}
 				}
 			}
 			if o := s.Orders()[0]; final[i] == rollout.Reverted && o.Phase != rollout.Reverted {
-				t.Fatalf("phase %v after it was reverted", o.Phase)
+				t.Fatalf("phase %v after the version was reverted", o.Phase)
 			}
 		}
-		if most := 0.1*float64(sent) + 50; float64(tried) > most {
-			t.Fatalf("%d of %d tried", tried, sent)
+		if limit := 0.1*float64(sent) + 50; float64(canaries) > limit {
+			t.Fatalf("%d of %d requests are canary requests", canaries, sent)
 		}
 	})
 }
 
-// A version whose order is not stored as under way gets nothing, nor does one of an earlier
-// order that another one has replaced; and a second order of a version that was reverted
-// begins anew, though the state of the first one is still stored.
-func TestOrdersThatFollowEachOther(t *testing.T) {
+// A version whose order is not yet stored as under way gets no requests, nor does one whose order
+// was replaced by another. A second order of a version that was reverted must start afresh although
+// the state of the first one is still stored.
+func TestSuccessiveOrders(t *testing.T) {
 	d := newDaemons(1, func() float64 { return 0.5 })
 	s := d.list[0]
-	if v := ask(s); v.Only != "" || len(v.Except) > 0 {
-		t.Errorf("%+v without any order", v)
+	if v := choose(s); v.Only != "" || len(v.Except) > 0 {
+		t.Errorf("versions %+v without any order", v)
 	}
-	d.put(s)
-	if v := ask(s); len(v.Except) != 1 || v.Except[0] != "v2" || !s.Blocked(lm, "v2") {
-		t.Errorf("%+v after the order", v)
+	d.applyOrder(s)
+	if v := choose(s); len(v.Except) != 1 || v.Except[0] != "v2" || !s.Blocked(lm, "v2") {
+		t.Errorf("versions %+v after the order", v)
 	}
 	d.r.Revision, d.r.Stored = 2, rollout.Reverted
-	d.put(s)
+	d.applyOrder(s)
 	if o := s.Orders()[0]; o.Phase != rollout.Reverted {
-		t.Errorf("phase %v", o.Phase)
+		t.Errorf("phase %v, want reverted", o.Phase)
 	}
 	d.r.Revision, d.r.Duration = 3, time.Minute
-	d.put(s)
+	d.applyOrder(s)
 	if o := s.Orders()[0]; o.Phase != rollout.Ordered {
-		t.Errorf("phase %v of the second order", o.Phase)
+		t.Errorf("phase %v of the second order, want ordered", o.Phase)
 	}
 	d.r.Revision, d.r.Stored = 4, rollout.Trying
-	d.put(s)
+	d.applyOrder(s)
 	if o := s.Orders()[0]; o.Phase != rollout.Trying {
-		t.Errorf("phase %v once it is stored", o.Phase)
+		t.Errorf("phase %v once it is stored, want trying", o.Phase)
 	}
 	d.r.Revision, d.r.Stored, d.r.Target = 5, rollout.Ordered, "v3"
-	d.put(s)
-	if v := ask(s); len(v.Except) != 2 || !s.Blocked(lm, "v2") || !s.Blocked(lm, "v3") || s.Blocked(lm, "v1") {
-		t.Errorf("%+v after an order of another version", v)
+	d.applyOrder(s)
+	if v := choose(s); len(v.Except) != 2 || !s.Blocked(lm, "v2") || !s.Blocked(lm, "v3") || s.Blocked(lm, "v1") {
+		t.Errorf("versions %+v after an order of another version", v)
 	}
 }
 
-// A version is complete: the old endpoints are listed for some seconds more, and get nothing.
-// Endpoints that are replaced much later may come in any version that was not left.
+// A roll-out is complete. The old endpoints remain listed for some seconds and must get no
+// requests. Endpoints that are replaced much later may run any version that was not abandoned.
 func TestCompleteVersion(t *testing.T) {
 	d := newDaemons(1, func() float64 { return 0.5 })
 	s := d.list[0]
-	d.put(s)
+	d.applyOrder(s)
 	d.r.Revision, d.r.Stored = 2, rollout.Complete
-	d.put(s)
-	if v := ask(s); v.Only != "v2" || s.CountsTowardsSize(lm, "v1") || !s.CountsTowardsSize(lm, "v2") {
-		t.Errorf("%+v at once", v)
+	d.applyOrder(s)
+	if v := choose(s); v.Only != "v2" || s.CountsTowardsSize(lm, "v1") || !s.CountsTowardsSize(lm, "v2") {
+		t.Errorf("versions %+v right after the roll-out", v)
 	}
 	d.now = d.now.Add(listTime)
-	if v := ask(s); v.Only != "" || len(v.Except) > 0 || !s.CountsTowardsSize(lm, "v1") {
-		t.Errorf("%+v later", v)
+	if v := choose(s); v.Only != "" || len(v.Except) > 0 || !s.CountsTowardsSize(lm, "v1") {
+		t.Errorf("versions %+v after the old endpoints are gone", v)
 	}
 }
 
-// A request was chosen for a version and waits for its connection while the version is
-// reverted: it must not be sent there any more.
-func TestVersionIsBarredRightBeforeTheSend(t *testing.T) {
+// A request was chosen for a version and waits for its connection while the version is reverted. It
+// must not be sent there any more.
+func TestVersionIsBlockedRightBeforeSend(t *testing.T) {
 	d := newDaemons(1, func() float64 { return 0 })
 	s := d.list[0]
-	d.put(s)
+	d.applyOrder(s)
 	g := Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: rollout.Trying, Fencing: 1, Sequence: 1, IssuedAt: d.now, OldEndAt: d.now.Add(time.Minute)}
 	s.ApplyGrant(&g, "holder")
 	for range 200 {
-		if ask(s).Only == "v2" {
+		if choose(s).Only == "v2" {
 			break
 		}
 	}
 	if s.Blocked(lm, "v2") {
-		t.Error("barred while it is tried")
+		t.Error("blocked during the canary phase")
 	}
 	g.Phase, g.Sequence = rollout.Reverted, 2
 	s.ApplyGrant(&g, "holder")
 	if !s.Blocked(lm, "v2") {
-		t.Error("not barred after it was reverted")
+		t.Error("not blocked after the version was reverted")
 	}
 }
--- a/internal/route/splitter/tally.go
+++ b/internal/route/splitter/tally.go
@@ -8,39 +8,41 @@
 )
 
 const (
-	// farTooSlow is how many times as long as expected an answer takes that counts as slow:
-	// predictions err by up to three, and a version that is slow by several.
-	farTooSlow = 3
-	// slowMargin is added to what is expected: short answers vary by as much.
+	// slowFactor is the ratio of measured to expected duration above which an answer counts as
+	// slow: predictions err by up to a factor of three, a bad version by several.
+	slowFactor = 3
+	// slowMargin is added to the expected duration, because the duration of short answers varies by
+	// as much.
 	slowMargin = 60 * time.Millisecond
-	// usualAnswers of the old endpoints tell what is usual.
-	usualAnswers = 3
-	// usualWeight is the weight of the newest answer in the usual time of a route.
+	// minUsualAnswers is the number of answers of the old endpoints from which on the usual
+	// duration is known.
+	minUsualAnswers = 3
+	// usualWeight is the weight of the newest answer in the usual duration of a route.
 	usualWeight = 0.05
-	// mostTallies bounds what is counted for a service.
-	mostTallies = 512
+	// maxTallies limits the tallies of a service.
+	maxTallies = 512
 )
 
-// Outcome is what came of a request at an endpoint.
+// Outcome is the outcome of a request at an endpoint.
 type Outcome int
 
 // The outcomes.
 const (
-	// Inconclusive says nothing of the version: not run, or the client left.
+	// Inconclusive says nothing about the version: the request did not run, or the client left.
 	Inconclusive Outcome = iota
 	Answered
 	Failed
 )
 
-// Tally counts what came of requests of a route at an endpoint of the version, or at all
-// others together. The numbers only rise.
+// Tally counts the outcomes of the requests of a route at one endpoint of the target version, or at
+// all endpoints of other versions together. The counts only increase.
 type Tally struct {
 	Service identifier.Service
 	Order   uint64
 	Route   string
-	// Endpoint is empty for all of other versions.
+	// Endpoint is empty for the tally of the other versions.
 	Endpoint identifier.Endpoint
-	// RunStarted counts requests, Ended those that do not run any more.
+	// Sent counts requests, Ended those that have ended.
 	Sent    int
 	Ended   int
 	Answers int
@@ -48,6 +50,7 @@
 	Slow    int
 }
 
+// tallyKey identifies a tally of a service.
 type tallyKey struct {
 	route    string
 	endpoint identifier.Endpoint
@@ -60,19 +63,19 @@
 	Endpoint identifier.Endpoint
 	Version  identifier.Version
 	Outcome  Outcome
-	// Elapsed is how long the answer took, Expected how long answers of its size are expected to;
-	// 0 if all of the route are alike.
+	// Elapsed is how long the answer took. Expected is how long answers of its size are expected to
+	// take; 0 if all answers of the route are alike.
 	Elapsed, Expected time.Duration
-	// Cold: the endpoint is slow as it has just started.
+	// Cold: the endpoint is still slow from its start.
 	Cold bool
-	// counted is the order for which it was counted as sent.
-	counted uint64
-	// Abandoned: the client did not wait for the end, so that only a slow answer counts.
+	// order is the order for which the run was counted as started.
+	order uint64
+	// Abandoned: the client did not wait for the end, so only a slow answer counts.
 	Abandoned bool
 }
 
-// RunStarted counts a request that is sent, and tells whether it counts: whether Ended is to be told
-// of the same run.
+// RunStarted counts a request that is sent. It reports whether the request counts, that is whether
+// RunEnded must be called with the same run.
 func (s *Splitter) RunStarted(r *Run) (counts bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -81,16 +84,16 @@
 		return false
 	}
 	t.Sent++
-	r.counted = v.order.OrderID()
+	r.order = v.order.OrderID()
 	return true
 }
 
-// RunEnded counts what came of a request.
+// RunEnded counts the outcome of a request.
 func (s *Splitter) RunEnded(r *Run) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	t, v := s.tally(r)
-	if t == nil || r.counted != t.Order {
+	if t == nil || r.order != t.Order {
 		return
 	}
 	t.Ended++
@@ -110,7 +113,8 @@
 	s.c.OnAnswer(r, r.Version == v.order.Target, slow)
 }
 
-// tally returns where a run counts, nil if it does not. The caller holds the lock.
+// tally returns the tally that a run counts in, nil if it does not count. The caller holds the
+// lock.
 func (s *Splitter) tally(r *Run) (*Tally, *service) {
 	v := s.services[r.Service]
 	if v == nil || v.phase().IsFinal() {
@@ -121,41 +125,43 @@
 		k.endpoint = ""
 	}
 	t := v.tally[k]
-	if t == nil && len(v.tally) < mostTallies {
+	if t == nil && len(v.tally) < maxTallies {
 		t = &Tally{Service: r.Service, Order: v.order.OrderID(), Route: r.Route, Endpoint: k.endpoint}
 		v.tally[k] = t
 	}
 	return t, v
 }
 
-// usual is how many times as long as expected the answers of a route take at the old
-// endpoints.
+// usual is the usual duration of a route's answers at the old endpoints, relative to the expected
+// duration.
 type usual struct {
-	// log is the mean of the logarithms, so that single long answers weigh little, of answers.
-	log     float64
-	answers int
+	// logRatio is the mean logarithm of the ratio, so that single long answers have little weight.
+	// answers counts the answers in it.
+	logRatio float64
+	answers  int
 }
 
-// slow tells whether an answer took far longer than those of the old endpoints: what is
-// expected of an endpoint that has just been found is off by what is learned of it later.
+// slow reports whether an answer took far longer than those of the old endpoints do. They are the
+// reference because the expectation for an endpoint that is still new deviates from what is learned
+// about it later.
 func (v *service) slow(r *Run) bool {
 	expected := r.Expected
 	if expected <= 0 {
 		expected = time.Second
 	}
 	u := v.usual[r.Route]
-	known := u.answers >= usualAnswers
-	limit := time.Duration(farTooSlow*math.Exp(u.log)*float64(expected)) + slowMargin
+	known := u.answers >= minUsualAnswers
+	limit := time.Duration(slowFactor*math.Exp(u.logRatio)*float64(expected)) + slowMargin
 	if r.Version != v.order.Target && !r.Abandoned {
 		u.answers++
 		weight := max(usualWeight, 1/float64(u.answers))
-		u.log += weight * (math.Log(max(r.Elapsed.Seconds()/expected.Seconds(), 1e-6)) - u.log)
+		u.logRatio += weight * (math.Log(max(r.Elapsed.Seconds()/expected.Seconds(), 1e-6)) - u.logRatio)
 		v.usual[r.Route] = u
 	}
 	return known && r.Elapsed > limit
 }
 
-// Tallies returns what this daemon has counted of all orders that are under way.
+// Tallies returns this daemon's tallies of all orders that are under way.
 func (s *Splitter) Tallies() []Tally {
 	s.mu.Lock()
 	defer s.mu.Unlock()
