--- a/internal/route/quarantiner/running.go
+++ b/internal/route/quarantiner/attempt.go
@@ -2,13 +2,13 @@
 
 import "brasschute/internal/core/identifier"
 
-// attempt is one send under way.
+// attempt is one attempt in progress.
 type attempt struct{ withdraw func() }
 
-// Track notes an attempt that withdraw ends, which is called once if the request comes to be
-// held meanwhile: it may wait at an endpoint that has not begun it. leave is called when the
-// endpoint has brought something, or the attempt has ended.
-func (z *Quarantiner) Track(f identifier.Fingerprint, withdraw func()) (leave func()) {
+// Track registers an attempt that has delivered nothing yet. withdraw is called once if the request
+// becomes held meanwhile: the request may be queued at an endpoint that has not begun it. The
+// caller calls untrack when the endpoint has delivered something or the attempt has ended.
+func (z *Quarantiner) Track(f identifier.Fingerprint, withdraw func()) (untrack func()) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	a := &attempt{withdraw}
@@ -26,7 +26,7 @@
 	}
 }
 
-// withdraw ends the attempts of a request. The caller holds the lock.
+// withdraw withdraws the attempts of a request. The caller holds the lock.
 func (z *Quarantiner) withdraw(f identifier.Fingerprint) {
 	for a := range z.running[f] {
 		go a.withdraw()
--- /dev/null
+++ b/internal/route/quarantiner/gossip.go
@@ -0,0 +1,64 @@
+package quarantiner
+
+import (
+	"time"
+)
+
+const (
+	// maxUpdates limits the suspects in one message, to about 5 KB: those that are held, then those
+	// that changed within updateTime.
+	maxUpdates = 32
+	updateTime = time.Minute
+)
+
+// Updates returns the suspects to gossip to other daemons, held requests first. Normally there are
+// none.
+func (z *Quarantiner) Updates() []Suspect {
+	now := time.Now()
+	var out []Suspect
+	for _, s := range z.List() {
+		if len(out) == maxUpdates {
+			break
+		}
+		if s.Held || now.Sub(s.changed) < updateTime && !s.negligible() {
+			out = append(out, s)
+		}
+	}
+	return out
+}
+
+// negligible reports whether a single weak ending is all that is known: this holds for most of the
+// requests that an endpoint was running when it ended. Only the daemon that saw the ending keeps
+// it.
+func (s *Suspect) negligible() bool {
+	return len(s.Endings) == 1 && s.Endings[0].Weak && !s.Endings[0].Void
+}
+
+// Merge merges the updates of another daemon and reports whether any of them was news.
+func (z *Quarantiner) Merge(updates []Suspect) bool {
+	now := time.Now()
+	news := false
+	for _, s := range updates {
+		z.mu.Lock()
+		isNews, changed := z.mergeSuspect(&s, now)
+		z.mu.Unlock()
+		news = news || isNews
+		z.notify(changed)
+	}
+	return news
+}
+
+// mergeSuspect merges one suspect. The caller holds the lock.
+func (z *Quarantiner) mergeSuspect(update *Suspect, now time.Time) (news bool, changed *Suspect) {
+	endings := make([]Ending, 0, len(update.Endings))
+	for _, e := range update.Endings {
+		// Endings that have lapsed here are not added again.
+		if age := now.Sub(e.At); e.Endpoint != "" && age < heldTime {
+			endings = append(endings, e)
+		}
+	}
+	if len(endings) == 0 || update.Fingerprint == "" {
+		return false, nil
+	}
+	return z.add(update.Fingerprint, endings[:min(len(endings), maxEndings)], now)
+}
--- a/internal/route/quarantiner/quarantiner.go
+++ b/internal/route/quarantiner/quarantiner.go
@@ -1,44 +1,43 @@
-// Package quarantiner keeps a request from further endpoints once some have ended under it.
+// Package quarantiner keeps requests that crash endpoints from being sent to further ones.
 //
-// # Why
-//
-// Some requests end the process of each endpoint that begins to run them, and with it the
-// answers of all others there. Their callers get an error and send them again, to any
-// daemon. What a daemon knows of one arrival must therefore outlive it and reach all
-// daemons; requests are the same by their fingerprint.
+// Some requests end the process of each endpoint that begins to run them, and with it all other
+// answers in progress there. Their clients get an error and send them again, to any daemon. What a
+// daemon learns from one arrival must therefore outlive it and reach all daemons. Requests are
+// identified by their fingerprint.
 //
 // # Evidence
 //
-// An [Ending] is one life of one endpoint that ended while it ran the request. It weighs
-// [strong] if nothing speaks for the request, and [weak] if the endpoint had brought events of
-// it before, or if the request was answered lately: many requests run at an endpoint when it
-// ends, and all but one of them are innocent. An answer from any endpoint clears a request:
-// its endings count no more. When a request is held, other requests are not blamed for the
-// endings that it explains.
+// An [Ending] is one incarnation of an endpoint that ended while it ran the request. It counts
+// [strong] points by default. It counts [weak] points if the endpoint had delivered events of the
+// request before, or if the request was answered recently: many requests run at an endpoint when it
+// ends, and all but one of them are innocent. An answer from any endpoint clears a request: its
+// endings no longer count. When a request is held, the endings that it explains no longer count
+// against other requests.
 //
-// # Verdict
+// # Decision
 //
-// From [limit] on a request is held: [Quarantiner.Admit] refuses it. The verdict follows from
-// the endings alone, and daemons that know the same endings decide the same. After a pause,
-// ten times as long after each further ending, the daemon that saw the last ending lets one
-// arrival through; an answer clears the request, another ending prolongs the pause.
+// A request with at least [limit] points is held: [Quarantiner.Admit] refuses it. The decision
+// follows from the endings alone, so daemons that know the same endings decide the same. After a
+// pause, which becomes ten times as long with each further ending, the daemon that saw the last
+// ending admits one arrival as a trial. An answer clears the request, another ending prolongs the
+// pause.
 //
-// # Sharing
+// # Gossip
 //
-// Endings are only added, and marked as void; so what daemons tell each other may come late,
-// twice, in any order and by any way ([Quarantiner.Updates], [Quarantiner.Merge]).
+// Endings are only added and marked as void. Updates from other daemons may therefore arrive late,
+// twice, in any order and over any path ([Quarantiner.Updates], [Quarantiner.Merge]).
 //
-// # Bounds
+// # Limits
 //
-// [maxSuspects] requests with [maxEndings] each are kept. Beyond that those that are not held
-// are forgotten first, and of them those whose last ending is oldest.
+// At most [maxSuspects] requests with [maxEndings] endings each are kept. Beyond that, requests
+// that are not held are evicted first, those with the oldest last ending before others.
 //
 // # Usage
 //
 //	z := quarantiner.New(quarantiner.Config{Host: name})
 //	if v := z.Admit(fingerprint, id); v.Held { ... }
-//	changed := z.Ended(fingerprint, ending)
-//	z.Answered(fingerprint)
+//	changed := z.RecordEnding(fingerprint, ending)
+//	z.RecordAnswer(fingerprint)
 package quarantiner
 
 import (
@@ -50,8 +49,8 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Points of an ending, and those from which on a request is held: two endpoints that ended
-// under it as it began, or four while something spoke for it.
+// Points of an ending, and the number of points from which on a request is held: two endpoints that
+// ended right after it began, or four with evidence in its favour.
 const (
 	strong = 2
 	weak   = 1
@@ -61,34 +60,35 @@
 const (
 	// suspectTime is how long an ending counts against a request that is not held.
 	suspectTime = 10 * time.Minute
-	// heldTime is how long a held request is known after its last ending.
+	// heldTime is how long a held request is kept after its last ending.
 	heldTime = time.Hour
-	// firstPause is the pause before a held request is tried again; it gets pauseFactor
-	// times as long with each further ending.
+	// firstPause is the pause before the first trial of a held request. Each further ending
+	// multiplies it by pauseFactor.
 	firstPause  = time.Minute
 	pauseFactor = 10
-	// trialTime is how long a trial may be without an outcome before there is another one:
-	// longer than requests run.
+	// trialTime is how long a trial may remain without an outcome before the next one: longer than
+	// requests run.
 	trialTime = time.Minute
-	// maxSuspects and maxEndings bound what is kept, to some 200 KB.
+	// maxSuspects and maxEndings limit the memory to about 200 KB.
 	maxSuspects = 512
 	maxEndings  = 8
 )
 
-// Ending is the end of one life of an endpoint while it ran a request.
+// Ending is the end of one incarnation of an endpoint while it ran a request.
 type Ending struct {
 	Endpoint identifier.Endpoint
 	Born     identifier.StartTime
-	// Seen is the daemon that saw it, At when by this daemon's clock.
+	// Seen is the daemon that saw the ending. At is the time by this daemon's clock.
 	Seen identifier.Host
 	At   time.Time
-	// Weak: something spoke for the request.
+	// Weak: there was evidence in favour of the request.
 	Weak bool
-	// Void: the request was answered since, or an operator lifted it, or another request
-	// explains the ending.
+	// Void: the request has been answered since, an operator lifted it, or another request explains
+	// the ending.
 	Void bool
 }
 
+// points returns how much the ending counts.
 func (e *Ending) points() int {
 	switch {
 	case e.Void:
@@ -99,58 +99,59 @@
 	return strong
 }
 
-// Suspect is a request with the endings under it, oldest first.
+// Suspect is a request with its endings, oldest first.
 type Suspect struct {
 	Fingerprint identifier.Fingerprint
 	Endings     []Ending
 	Held        bool
 
-	// changed is when this daemon last learned something of it.
+	// changed is when this daemon last learned something new about the request.
 	changed time.Time
 }
 
-// Verdict says whether a request may be sent to an endpoint.
+// Verdict is the decision whether a request may be sent to an endpoint.
 type Verdict struct {
-	// Held: it must not be sent. Trial: it is held, and this arrival may be sent all the same.
+	// Held: the request must not be sent. Trial: the request is held, but this arrival may be sent.
 	Held  bool
 	Trial bool
-	// Endings are those that count.
+	// Endings are the endings that count.
 	Endings []Ending
-	// RetryAfter is when the next trial is due, if Held.
+	// RetryAfter is the time until the next trial. It is meaningful only if Held is set.
 	RetryAfter time.Duration
 }
 
-// Config describes a quarantiner.
+// Config holds the settings of a quarantiner.
 type Config struct {
 	Host identifier.Host
-	// OnChange is told, without the lock, of each request that came to be held or free
-	// again; may be nil.
+	// OnChange is called, without the lock held, for each request that becomes held or free again;
+	// may be nil.
 	OnChange func(*Suspect)
 }
 
-// Quarantiner keeps the endings. It is safe for concurrent use.
+// Quarantiner keeps the endings of requests. It is safe for concurrent use.
 type Quarantiner struct {
 	c Config
 
 	mu       sync.Mutex
 	suspects map[identifier.Fingerprint]*suspect
-	answered memory
-	// running are the attempts under way that have brought nothing yet.
+	answered answeredSet
+	// running holds the attempts in progress that have delivered nothing yet.
 	running map[identifier.Fingerprint]map[*attempt]bool
-	// forgotten counts the suspects that were dropped for lack of room.
-	forgotten int
+	// evicted counts the suspects that were dropped for lack of space.
+	evicted int
 }
 
+// suspect is the state of a request with endings.
 type suspect struct {
 	endings []Ending
 	held    bool
 	changed time.Time
-	// trial is the arrival that was let through last, trialAt when.
+	// trial is the arrival that was last admitted as a trial, trialAt the time of its admission.
 	trial   identifier.Request
 	trialAt time.Time
 }
 
-// New returns a quarantiner that suspects nothing.
+// New returns a quarantiner without suspects.
 func New(c Config) *Quarantiner {
 	if c.OnChange == nil {
 		c.OnChange = func(*Suspect) {}
@@ -160,7 +161,7 @@
 	}
 }
 
-// Admit decides whether an arrival of a request may be sent to an endpoint now. It is asked
+// Admit decides whether an arrival of a request may be sent to an endpoint now. It must be called
 // again right before each send.
 func (z *Quarantiner) Admit(f identifier.Fingerprint, id identifier.Request) Verdict {
 	z.mu.Lock()
@@ -180,7 +181,7 @@
 	return v
 }
 
-// RecordEnding adds an ending under a request and reports whether that is news for other daemons.
+// RecordEnding adds an ending of a request and reports whether that is news for other daemons.
 func (z *Quarantiner) RecordEnding(f identifier.Fingerprint, e Ending) bool {
 	z.mu.Lock()
 	now := time.Now()
@@ -188,11 +189,11 @@
 	e.Weak = e.Weak || z.answered.has(f, now)
 	news, changed := z.add(f, []Ending{e}, now)
 	z.mu.Unlock()
-	z.tell(changed)
+	z.notify(changed)
 	return news
 }
 
-// RecordAnswer clears a request that an endpoint has run to its end, and reports whether that is
+// RecordAnswer clears a request that an endpoint has run to its end. It reports whether that is
 // news for other daemons.
 func (z *Quarantiner) RecordAnswer(f identifier.Fingerprint) bool {
 	z.mu.Lock()
@@ -201,7 +202,7 @@
 	return z.Lift(f)
 }
 
-// Lift clears a request, and reports whether anything counted against it.
+// Lift clears a request and reports whether anything counted against it.
 func (z *Quarantiner) Lift(f identifier.Fingerprint) bool {
 	z.mu.Lock()
 	s := z.suspects[f]
@@ -211,13 +212,13 @@
 	}
 	s.void(func(*Ending) bool { return true })
 	s.changed = time.Now()
-	changed := z.judge(f, s)
+	changed := z.updateHeld(f, s)
 	z.mu.Unlock()
-	z.tell(changed)
+	z.notify(changed)
 	return true
 }
 
-// List returns all that is known, held requests first, then those that changed last.
+// List returns all suspects, held ones first, then the most recently changed ones.
 func (z *Quarantiner) List() []Suspect {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -237,25 +238,25 @@
 	return out
 }
 
-// EvictedCount counts the suspects that were dropped for lack of room.
+// EvictedCount returns the number of suspects that were dropped for lack of space.
 func (z *Quarantiner) EvictedCount() int {
 	z.mu.Lock()
 	defer z.mu.Unlock()
-	return z.forgotten
+	return z.evicted
 }
 
-// tell passes on a change, if there is one, without the lock.
-func (z *Quarantiner) tell(changed *Suspect) {
+// notify calls OnChange for a change, if there is one. The caller must not hold the lock.
+func (z *Quarantiner) notify(changed *Suspect) {
 	if changed != nil {
 		z.c.OnChange(changed)
 	}
 }
 
-// add merges endings into what is known of a request. The caller holds the lock.
+// add merges endings into the suspect. The caller holds the lock.
 func (z *Quarantiner) add(f identifier.Fingerprint, endings []Ending, now time.Time) (news bool, changed *Suspect) {
 	s := z.suspects[f]
 	if s == nil {
-		z.forget(now)
+		z.evict(now)
 		s = &suspect{}
 		z.suspects[f] = s
 	}
@@ -268,12 +269,12 @@
 	if news {
 		s.changed = now
 	}
-	return news, z.judge(f, s)
+	return news, z.updateHeld(f, s)
 }
 
-// judge decides anew whether a request is held, and returns it if that has changed. The
+// updateHeld recomputes whether a request is held and returns the suspect if that changed. The
 // caller holds the lock.
-func (z *Quarantiner) judge(f identifier.Fingerprint, s *suspect) *Suspect {
+func (z *Quarantiner) updateHeld(f identifier.Fingerprint, s *suspect) *Suspect {
 	held := s.points() >= limit
 	if held == s.held {
 		return nil
@@ -281,13 +282,13 @@
 	s.held = held
 	if held {
 		z.withdraw(f)
-		z.explain(s)
+		z.voidExplained(s)
 	}
 	return &Suspect{Fingerprint: f, Endings: slices.Clone(s.endings), Held: held}
 }
 
-// explain voids the endings of other requests that a held one explains.
-func (z *Quarantiner) explain(by *suspect) {
+// voidExplained voids the endings of other requests that a held request explains.
+func (z *Quarantiner) voidExplained(by *suspect) {
 	for _, s := range z.suspects {
 		if !s.held {
 			s.void(func(e *Ending) bool { return by.has(e) })
@@ -295,36 +296,38 @@
 	}
 }
 
-// forget makes room for one more suspect. The caller holds the lock.
-func (z *Quarantiner) forget(now time.Time) {
+// evict makes room for one more suspect. The caller holds the lock.
+func (z *Quarantiner) evict(now time.Time) {
 	var oldest identifier.Fingerprint
 	for f, s := range z.suspects {
 		switch {
 		case s.lapsed(now):
 			delete(z.suspects, f)
-		case oldest == "" || s.before(z.suspects[oldest]):
+		case oldest == "" || s.evictedBefore(z.suspects[oldest]):
 			oldest = f
 		}
 	}
 	if len(z.suspects) >= maxSuspects {
 		delete(z.suspects, oldest)
-		z.forgotten++
+		z.evicted++
 	}
 }
 
-// before tells whether a suspect is forgotten before another.
-func (s *suspect) before(o *suspect) bool {
+// evictedBefore reports whether s is evicted before o.
+func (s *suspect) evictedBefore(o *suspect) bool {
 	if s.held != o.held {
 		return o.held
 	}
 	return s.endings[len(s.endings)-1].At.Before(o.endings[len(o.endings)-1].At)
 }
 
+// lapsed reports whether the last ending is too old to keep s.
 func (s *suspect) lapsed(now time.Time) bool {
 	age := now.Sub(s.endings[len(s.endings)-1].At)
 	return age > heldTime || age > suspectTime && !s.held
 }
 
+// points returns the sum of the points of all endings.
 func (s *suspect) points() (sum int) {
 	for i := range s.endings {
 		sum += s.endings[i].points()
@@ -342,7 +345,7 @@
 	return out
 }
 
-// last is the newest ending that counts.
+// last returns the newest ending that counts.
 func (s *suspect) last() Ending {
 	counting := s.counting()
 	if len(counting) == 0 {
@@ -351,7 +354,7 @@
 	return counting[len(counting)-1]
 }
 
-// pause is the time between the last ending and the next trial.
+// pause returns the time between the last ending and the next trial.
 func (s *suspect) pause() time.Duration {
 	pause := firstPause
 	for points := s.points() - limit; points >= strong && pause < heldTime; points -= strong {
@@ -360,23 +363,25 @@
 	return pause
 }
 
+// void marks the endings that which selects as void.
 func (s *suspect) void(which func(*Ending) bool) {
 	for i := range s.endings {
 		s.endings[i].Void = s.endings[i].Void || which(&s.endings[i])
 	}
 }
 
+// find returns the index of the same ending, or -1.
 func (s *suspect) find(e *Ending) int {
 	return slices.IndexFunc(s.endings, func(o Ending) bool { return o.Endpoint == e.Endpoint && o.Born == e.Born })
 }
 
-// has tells whether the same ending counts here.
+// has reports whether the same ending counts for s.
 func (s *suspect) has(e *Ending) bool {
 	i := s.find(e)
 	return i >= 0 && !s.endings[i].Void
 }
 
-// merge adds an ending, or what is new of a known one, and reports whether it was news.
+// merge adds an ending, or updates the known one, and reports whether anything changed.
 func (s *suspect) merge(e *Ending) bool {
 	if i := s.find(e); i >= 0 {
 		known := &s.endings[i]
--- a/internal/route/quarantiner/quarantiner_test.go
+++ b/internal/route/quarantiner/quarantiner_test.go
@@ -13,19 +13,21 @@
 
 const fatal = identifier.Fingerprint("fatal")
 
-// ending is an ending at the nth endpoint.
+// ending returns an ending at the nth endpoint.
 func ending(n int) Ending { return Ending{Endpoint: identifier.Endpoint(fmt.Sprint("i-", n))} }
 
+// held reports whether z holds a request.
 func held(z *Quarantiner, f identifier.Fingerprint) bool { return z.Admit(f, "request").Held }
 
-// inBubble runs a check in paused time with a quarantiner of host a.
-func inBubble(t *testing.T, check func(t *testing.T, z *Quarantiner)) {
+// withFakeTime runs a check in a synctest bubble, with a quarantiner of host a.
+func withFakeTime(t *testing.T, check func(t *testing.T, z *Quarantiner)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) { check(t, New(Config{Host: "a"})) })
 }
 
+// TestVerdicts checks which endings and answers make a request held.
 func TestVerdicts(t *testing.T) {
-	weakly := func(n int) Ending { e := ending(n); e.Weak = true; return e }
+	weakEnding := func(n int) Ending { e := ending(n); e.Weak = true; return e }
 	for _, c := range []struct {
 		name string
 		do   func(z *Quarantiner)
@@ -34,14 +36,14 @@
 		{"one ending", func(z *Quarantiner) { z.RecordEnding(fatal, ending(1)) }, false},
 		{"two endings", func(z *Quarantiner) { z.RecordEnding(fatal, ending(1)); z.RecordEnding(fatal, ending(2)) }, true},
 		{"one ending seen twice", func(z *Quarantiner) { z.RecordEnding(fatal, ending(1)); z.RecordEnding(fatal, ending(1)) }, false},
-		{"two lives of one endpoint", func(z *Quarantiner) {
+		{"two incarnations of one endpoint", func(z *Quarantiner) {
 			z.RecordEnding(fatal, Ending{Endpoint: "i-1", Born: 1})
 			z.RecordEnding(fatal, Ending{Endpoint: "i-1", Born: 2})
 		}, true},
-		{"two endings after events", func(z *Quarantiner) { z.RecordEnding(fatal, weakly(1)); z.RecordEnding(fatal, weakly(2)) }, false},
+		{"two endings after events", func(z *Quarantiner) { z.RecordEnding(fatal, weakEnding(1)); z.RecordEnding(fatal, weakEnding(2)) }, false},
 		{"four endings after events", func(z *Quarantiner) {
 			for n := range 4 {
-				z.RecordEnding(fatal, weakly(n))
+				z.RecordEnding(fatal, weakEnding(n))
 			}
 		}, true},
 		{"an answer between two endings", func(z *Quarantiner) {
@@ -65,7 +67,11 @@
 			z.RecordEnding(fatal, ending(1))
 			z.RecordEnding(fatal, ending(2))
 		}, true},
-		{"lifted", func(z *Quarantiner) { z.RecordEnding(fatal, ending(1)); z.RecordEnding(fatal, ending(2)); z.Lift(fatal) }, false},
+		{"lifted", func(z *Quarantiner) {
+			z.RecordEnding(fatal, ending(1))
+			z.RecordEnding(fatal, ending(2))
+			z.Lift(fatal)
+		}, false},
 		{"lifted, and two further endings", func(z *Quarantiner) {
 			z.RecordEnding(fatal, ending(1))
 			z.RecordEnding(fatal, ending(2))
@@ -86,7 +92,7 @@
 		}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inBubble(t, func(t *testing.T, z *Quarantiner) {
+			withFakeTime(t, func(t *testing.T, z *Quarantiner) {
 				c.do(z)
 				if got := held(z, fatal); got != c.held {
 					t.Errorf("held %v, want %v: %+v", got, c.held, z.List())
@@ -96,31 +102,32 @@
 	}
 }
 
-// A request is held for good, though it would be answered by now: after a pause one arrival
-// is let through, by the daemon that saw the last ending and no other.
+// A request is held although it would be answered by now. If it stayed held forever, it would never
+// be cleared. After a pause one arrival must be admitted, by the daemon that saw the last ending
+// and no other.
 func TestHeldRequestIsTriedAgain(t *testing.T) {
-	inBubble(t, func(t *testing.T, z *Quarantiner) {
+	withFakeTime(t, func(t *testing.T, z *Quarantiner) {
 		z.RecordEnding(fatal, ending(1))
 		z.RecordEnding(fatal, ending(2))
 		other := New(Config{Host: "b"})
 		other.Merge(z.Updates())
 		time.Sleep(firstPause)
 		if v := other.Admit(fatal, "x"); !v.Held || v.Trial {
-			t.Errorf("the other daemon: %+v", v)
+			t.Errorf("admitted by the daemon that did not see the last ending: %+v", v)
 		}
 		if v := z.Admit(fatal, "x"); v.Held || !v.Trial {
-			t.Errorf("no trial: %+v", v)
+			t.Errorf("not admitted as a trial: %+v", v)
 		}
 		if v := z.Admit(fatal, "x"); v.Held {
-			t.Errorf("the same arrival, right before it is sent: %+v", v)
+			t.Errorf("the same arrival is refused right before it is sent: %+v", v)
 		}
 		if v := z.Admit(fatal, "y"); !v.Held {
-			t.Errorf("a second arrival beside it: %+v", v)
+			t.Errorf("a second arrival is admitted, too: %+v", v)
 		}
 		z.RecordEnding(fatal, ending(3))
 		time.Sleep(firstPause)
 		if v := z.Admit(fatal, "x"); !v.Held {
-			t.Errorf("the trial that failed goes on: %+v", v)
+			t.Errorf("admitted although the trial failed: %+v", v)
 		}
 		time.Sleep(firstPause * pauseFactor)
 		if v := z.Admit(fatal, "z"); !v.Trial {
@@ -130,21 +137,21 @@
 		other.Merge(z.Updates())
 		for host, one := range map[string]*Quarantiner{"a": z, "b": other} {
 			if held(one, fatal) {
-				t.Errorf("%s holds it after the answer", host)
+				t.Errorf("%s holds the request after the answer", host)
 			}
 		}
 	})
 }
 
-// A request waits at a third endpoint when the second one ends under it: it is withdrawn
-// there, and an attempt that has brought something is not.
+// A request waits at a third endpoint when the second one ends while running it. The waiting
+// attempt must be withdrawn, but not an attempt that has delivered something.
 func TestWaitingAttemptsAreWithdrawn(t *testing.T) {
-	inBubble(t, func(t *testing.T, z *Quarantiner) {
+	withFakeTime(t, func(t *testing.T, z *Quarantiner) {
 		var withdrawn [2]bool
 		z.Track(fatal, func() { withdrawn[0] = true })
-		leave := z.Track(fatal, func() { withdrawn[1] = true })
+		untrack := z.Track(fatal, func() { withdrawn[1] = true })
 		z.RecordEnding(fatal, ending(1))
-		leave()
+		untrack()
 		z.RecordEnding(fatal, ending(2))
 		synctest.Wait()
 		if withdrawn != [2]bool{true, false} {
@@ -153,9 +160,9 @@
 	})
 }
 
-// Somebody sends a thousand bodies that end an endpoint each, to push out what is held.
-func TestHeldRequestsOutliveAFlood(t *testing.T) {
-	inBubble(t, func(t *testing.T, z *Quarantiner) {
+// A client sends a thousand bodies that end an endpoint each. They must not evict a held request.
+func TestHeldRequestsSurviveFlood(t *testing.T) {
+	withFakeTime(t, func(t *testing.T, z *Quarantiner) {
 		z.RecordEnding(fatal, ending(1))
 		z.RecordEnding(fatal, ending(2))
 		for n := range 2 * maxSuspects {
@@ -163,22 +170,24 @@
 			z.RecordEnding(identifier.Fingerprint(fmt.Sprint(n)), ending(n+10))
 		}
 		if !held(z, fatal) {
-			t.Error("the held request was forgotten")
+			t.Error("the held request was evicted")
 		}
 		if n := len(z.List()); n != maxSuspects {
-			t.Errorf("%d suspects", n)
+			t.Errorf("%d suspects are kept", n)
 		}
 		if n := z.EvictedCount(); n != maxSuspects+1 {
-			t.Errorf("%d forgotten", n)
+			t.Errorf("%d suspects evicted", n)
 		}
-		if n := len(z.Updates()); n != maxTold || !z.Updates()[0].Held {
-			t.Errorf("%d told", n)
+		if n := len(z.Updates()); n != maxUpdates || !z.Updates()[0].Held {
+			t.Errorf("%d suspects in the updates", n)
 		}
 	})
 }
 
+// A held request is forgotten after heldTime, and a late update from another daemon must not bring it
+// back.
 func TestHeldRequestsLapse(t *testing.T) {
-	inBubble(t, func(t *testing.T, z *Quarantiner) {
+	withFakeTime(t, func(t *testing.T, z *Quarantiner) {
 		z.RecordEnding(fatal, ending(1))
 		z.RecordEnding(fatal, ending(2))
 		old := z.Updates()
@@ -188,21 +197,21 @@
 			t.Errorf("after %v: %+v", heldTime, z.List())
 		}
 		if z.Merge(old) {
-			t.Error("what has lapsed is news")
+			t.Error("a lapsed suspect is news")
 		}
 	})
 }
 
-// Daemons see endings, hear of them late, twice and in any order, and some see answers. In
-// the end all decide the same.
-func TestDaemonsThatKnowTheSameDecideTheSame(t *testing.T) {
+// Daemons see endings and answers and learn of others late, twice and in any order. In the end all
+// must decide the same.
+func TestDaemonsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const daemons = 4
 		var list [daemons]*Quarantiner
 		for i := range list {
 			list[i] = New(Config{Host: identifier.Host(fmt.Sprint("host-", i))})
 		}
-		var letters [][]Suspect
+		var messages [][]Suspect
 		requests := []identifier.Fingerprint{"x", "y", "z"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			d := list[rapid.IntRange(0, daemons-1).Draw(t, "daemon")]
@@ -215,10 +224,10 @@
 			case 2:
 				d.RecordAnswer(f)
 			case 3, 4, 5:
-				letters = append(letters, d.Updates())
+				messages = append(messages, d.Updates())
 			default:
-				if len(letters) > 0 {
-					d.Merge(letters[rapid.IntRange(0, len(letters)-1).Draw(t, "letter")])
+				if len(messages) > 0 {
+					d.Merge(messages[rapid.IntRange(0, len(messages)-1).Draw(t, "message")])
 				}
 			}
 		}
