--- a/internal/route/indexer/indexer.go
+++ b/internal/route/indexer/indexer.go
@@ -1,35 +1,34 @@
-// Package indexer remembers which endpoints have which prompt blocks cached.
+// Package indexer keeps a prefix cache index: which endpoints have which prompt blocks cached.
 //
-// # How sure it is
+// The index is filled by the requests that the daemon itself sent and by cache events, which arrive
+// late and with gaps. It is only a hint: a wrong entry costs some recomputed tokens but never
+// correctness.
 //
-// The index is filled by what the daemon itself sent and by cache events,
-// which come late and with gaps. It is a hint: a wrong entry costs some
-// recomputed tokens and never correctness.
-//
-// # Bounds
-//
-// Two generations of at most [generationBlocks] blocks each: when the newer
-// is full it becomes the older, and the former older one is dropped. A block
-// that is used is copied to the newer. Each block names at most [holders]
-// endpoints, the latest.
+// The index consists of two generations of at most [generationBlocks] blocks each. When the newer
+// one is full it becomes the older one, and the former older one is dropped. A block that is
+// written again is copied to the newer generation. Each block lists at most [holders] endpoints,
+// the latest ones.
 //
 // # Usage
 //
-//	x.Add(blocks, id)
+//	x.RecordSent(blocks, id)
 //	x.Match(blocks, func(id int32, n int) { ... })
 package indexer
 
 import "brasschute/internal/engine/prefix"
 
 const (
+	// generationBlocks limits the blocks of a generation, holders the endpoints of a block.
 	generationBlocks = 1 << 15
 	holders          = 4
-	// common is the number of requests with a block after which it counts as
-	// part of a preamble rather than of one conversation.
-	common = 8
+	// commonRequests is the number of requests with a block from which on the block counts as part
+	// of a common preamble rather than of one conversation.
+	commonRequests = 8
 )
 
+// entry is what is known of a block.
 type entry struct {
+	// holders are the numbers of the endpoints that have the block cached, latest first; 0 is unused.
 	holders [holders]int32
 	// sent counts the requests with this block that this daemon sent.
 	sent uint8
@@ -37,34 +36,34 @@
 
 func (e *entry) empty() bool { return e.holders[0] == 0 }
 
-// Indexer maps blocks to endpoint numbers above zero. The zero value is
-// ready; it is not safe for concurrent use.
+// Indexer maps blocks to endpoint numbers greater than zero. The zero value is ready for use. It is
+// not safe for concurrent use.
 type Indexer struct {
 	newer map[prefix.Block]entry
 	older map[prefix.Block]entry
 }
 
-// RecordSent records that a request with these blocks was sent to an endpoint, which
-// will hold them.
+// RecordSent records that a request with these blocks was sent to an endpoint, which will cache
+// them.
 func (x *Indexer) RecordSent(blocks []prefix.Block, id int32) {
 	for _, b := range blocks {
 		e := x.get(b)
 		e.add(id)
-		if e.sent < common {
+		if e.sent < commonRequests {
 			e.sent++
 		}
 		x.put(b, e)
 	}
 }
 
-// Add records that an endpoint holds a block.
+// Add records that an endpoint has cached a block.
 func (x *Indexer) Add(b prefix.Block, id int32) {
 	e := x.get(b)
 	e.add(id)
 	x.put(b, e)
 }
 
-// Remove records that an endpoint dropped a block.
+// Remove records that an endpoint evicted a block.
 func (x *Indexer) Remove(b prefix.Block, id int32) {
 	e := x.get(b)
 	if e.empty() {
@@ -74,6 +73,7 @@
 	x.put(b, e)
 }
 
+// get returns the entry of a block from either generation, the zero value if there is none.
 func (x *Indexer) get(b prefix.Block) entry {
 	if e, ok := x.newer[b]; ok {
 		return e
@@ -81,6 +81,7 @@
 	return x.older[b]
 }
 
+// put stores the entry of a block in the newer generation, and begins another one if it is full.
 func (x *Indexer) put(b prefix.Block, e entry) {
 	if x.newer == nil || len(x.newer) >= generationBlocks {
 		x.older = x.newer
@@ -96,6 +97,7 @@
 	e.holders[0] = id
 }
 
+// remove removes id and closes the gap.
 func (e *entry) remove(id int32) {
 	n := 0
 	for _, old := range e.holders {
@@ -107,24 +109,22 @@
 	clear(e.holders[n:])
 }
 
-// ConversationBlock returns the first block that only few requests have had: blocks before
-// it belong to a common preamble, and this one to the conversation. It returns
-// 0 if there is none.
+// ConversationBlock returns the first block that only a few requests have had, or 0 if there is
+// none. The blocks before it belong to a common preamble, and this one to the conversation.
 //
-// To count the endpoints that hold a block would not do: a preamble that
-// decides where its requests go is held at one endpoint only, and would draw
-// all of them there for ever.
+// Counting the endpoints that hold a block would not work: a preamble that determines where its
+// requests go is held by one endpoint only, and would attract all of them there permanently.
 func (x *Indexer) ConversationBlock(blocks []prefix.Block) prefix.Block {
 	for _, b := range blocks {
-		if x.get(b).sent < common {
+		if x.get(b).sent < commonRequests {
 			return b
 		}
 	}
 	return 0
 }
 
-// Match calls f with each endpoint that holds leading blocks and their count;
-// for one endpoint it calls with rising counts.
+// Match calls f with each endpoint that holds leading blocks and their number. The numbers increase
+// from call to call for one endpoint.
 func (x *Indexer) Match(blocks []prefix.Block, f func(id int32, n int)) {
 	for i, b := range blocks {
 		e := x.get(b)
