--- a/internal/serve/receiver/receiver.go
+++ b/internal/serve/receiver/receiver.go
@@ -1,17 +1,14 @@
-// Package receiver takes requests from clients of the ingress.
+// Package receiver is the HTTP handler for clients of the ingress.
 //
-// # The path of a request
+// A request passes these steps:
 //
 //	decode → route → organisation → body → quarantine → quota → relay → log
 //
-// Each step may refuse, and a refusal says truthfully that the request has not
-// run. A daemon that knows no configuration yet answers 503, never 401 or 404:
-// it can't know what does not exist.
+// Each step may refuse the request as not run. A daemon that has no configuration
+// yet answers 503, never 401 or 404, as it cannot tell what does not exist.
 //
-// # Stopping
-//
-// After [Receiver.Drain] every answer closes its connection, so that clients
-// move to other daemons with their next request; what has been read is
+// After [Receiver.Drain] every answer closes its connection, so that clients move
+// to other daemons with their next request. Requests that were read are still
 // answered.
 //
 // # Usage
@@ -32,8 +29,8 @@
 	"brasschute/internal/config/catalog"
 	"brasschute/internal/config/versioner"
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/quarantiner"
+	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/serve/refusal"
 	"brasschute/internal/serve/relayer"
 	"brasschute/internal/serve/request"
@@ -42,52 +39,53 @@
 )
 
 const (
-	// unknownRetry is told while the daemon knows no configuration, or lacks the newest:
-	// it lists the store within a second of its return.
-	unknownRetry = 500 * time.Millisecond
-	// defaultBody bounds a body where the configuration does not.
-	defaultBody = 4 << 20
-	// bodyPause is how long a client may take to send its body.
-	bodyPause = 5 * time.Second
+	// unknownRetryAfter is sent while the daemon has no configuration or not the newest
+	// one: it lists the store within a second of the store's return.
+	unknownRetryAfter = 500 * time.Millisecond
+	// defaultMaxBodyBytes bounds a body if the configuration does not.
+	defaultMaxBodyBytes = 4 << 20
+	// bodyTimeout is how long a client may take to send its body.
+	bodyTimeout = 5 * time.Second
 )
 
-// Relayer serves what was admitted.
+// Relayer serves an admitted request.
 type Relayer interface {
 	Relay(ctx context.Context, w http.ResponseWriter, q *request.Request, s *catalog.Service) relayer.Result
 }
 
-// Quota admits requests within their organisations' quotas.
+// Quota admits requests within the quotas of their organisations.
 type Quota interface {
 	Admit(q *request.Request) quotalimiter.Decision
 }
 
-// Quarantine says which requests must not reach endpoints.
+// Quarantine decides which requests may not reach endpoints.
 type Quarantine interface {
 	Admit(f identifier.Fingerprint, id identifier.Request) quarantiner.Verdict
 }
 
-// Observer is told of each request's end.
+// Observer is notified of the end of each request.
 type Observer interface {
 	RequestEnded(q *request.Request, r *relayer.Result)
 }
 
-// Config names the receiver's collaborators.
+// Config holds the dependencies of a Receiver.
 type Config struct {
 	Versioner *versioner.Versioner
 	Relayer   Relayer
 	Quota     Quota
-	// Quarantine is asked before a request is charged.
+	// Quarantine is consulted before a request is charged to a quota.
 	Quarantine Quarantine
 	Observer   Observer
-	// Decode reads a client's headers.
+	// Decode reads a client's headers. Its error is sent to the client as the reason of
+	// a 400.
 	Decode func(r *http.Request, received time.Time) (*request.Request, error)
-	// Refuse sets the headers of an answer of the daemon's own.
+	// Refuse sets the headers of an error response of the daemon itself.
 	Refuse func(h http.Header, id identifier.Request, retryAfter time.Duration)
-	// OnArrival is told of each request for a service; may be nil.
+	// OnArrival is called for each request whose service is known. It may be nil.
 	OnArrival func(*request.Request)
 }
 
-// Receiver is the clients' handler. Use New.
+// Receiver is the HTTP handler for clients. Use New.
 type Receiver struct {
 	c        Config
 	draining atomic.Bool
@@ -95,7 +93,7 @@
 
 var _ http.Handler = (*Receiver)(nil)
 
-// New returns a receiver that serves.
+// New returns a receiver that accepts requests.
 func New(c Config) *Receiver {
 	if c.OnArrival == nil {
 		c.OnArrival = func(*request.Request) {}
@@ -123,15 +121,15 @@
 		v.refuse(w, q, &relayer.Result{Outcome: relayer.NotRun, Refusal: refused})
 		return
 	}
-	if refused := v.body(w, r, c, q); refused != nil {
+	if refused := v.readBody(w, r, c, q); refused != nil {
 		v.refuse(w, q, &relayer.Result{Outcome: relayer.NotRun, Refusal: refused})
 		return
 	}
 	v.serve(w, r, c, q)
 }
 
-// overQuota says why a request is not admitted.
-func overQuota(q *request.Request, v *quotalimiter.Decision) string {
+// overQuotaReason describes why the quota refused a request, with the figures of the decision.
+func overQuotaReason(q *request.Request, v *quotalimiter.Decision) string {
 	reason := fmt.Sprintf("not run: over the organisation's quota (%s): charge %.0f, left %.0f, %.0f a second, %.2f set aside, "+
 		"used %.2f of the limit, own part %.0f, share %.3f of %.0f asked a second",
 		v.Cause, q.Charge(), v.Level, v.Rate, v.Reserved, v.Used, v.ShareLevel, v.Share, v.Demand)
@@ -141,6 +139,7 @@
 	return reason
 }
 
+// serve checks quarantine and quota, relays the request and reports its end.
 func (v *Receiver) serve(w http.ResponseWriter, r *http.Request, c *catalog.Catalog, q *request.Request) {
 	v.c.OnArrival(q)
 	if verdict := v.c.Quarantine.Admit(q.Fingerprint(), q.ID); verdict.Held {
@@ -149,7 +148,7 @@
 	}
 	if verdict := v.c.Quota.Admit(q); verdict.RetryAfter > 0 {
 		v.refuse(w, q, &relayer.Result{Outcome: relayer.NotRun, Refusal: &relayer.Refusal{
-			Status: http.StatusTooManyRequests, RetryAfter: verdict.RetryAfter, Reason: overQuota(q, &verdict),
+			Status: http.StatusTooManyRequests, RetryAfter: verdict.RetryAfter, Reason: overQuotaReason(q, &verdict),
 		}})
 		return
 	}
@@ -166,55 +165,56 @@
 	}
 }
 
-// resolve finds the route, the organisation and the service.
+// resolve sets the route, the organisation and the service of a request.
 func (v *Receiver) resolve(c *catalog.Catalog, q *request.Request) *relayer.Refusal {
 	if c == nil {
-		return &relayer.Refusal{Status: http.StatusServiceUnavailable, Reason: "not run: no configuration is known yet", RetryAfter: unknownRetry}
+		return &relayer.Refusal{Status: http.StatusServiceUnavailable, Reason: "not run: no configuration is known yet", RetryAfter: unknownRetryAfter}
 	}
 	q.ConfigurationNumber = c.Number()
 	q.Route = c.Route(q.Host, q.Path)
 	if q.Route == nil {
-		return v.unknown(http.StatusNotFound, "no route for this host and path")
+		return v.refuseUnknown(http.StatusNotFound, "no route for this host and path")
 	}
 	if !q.Route.Public && len(c.Organisations()) > 0 {
 		q.Organisation = c.Organisation(q.APIKey)
 		if q.Organisation == nil {
-			return v.unknown(http.StatusUnauthorized, "the key is missing or unknown")
+			return v.refuseUnknown(http.StatusUnauthorized, "the key is missing or unknown")
 		}
 	}
 	q.Service = q.Route.Pick(xxhash.Sum64String(string(q.ID)))
 	if q.Service == "" {
-		return &relayer.Refusal{Status: http.StatusServiceUnavailable, Reason: "not run: the route has no service", RetryAfter: unknownRetry}
+		return &relayer.Refusal{Status: http.StatusServiceUnavailable, Reason: "not run: the route has no service", RetryAfter: unknownRetryAfter}
 	}
 	return nil
 }
 
-// unknown refuses what the configuration in force does not allow. A newer one, of which
-// only the number has come so far, may allow it: callers take a 404 or 401 for final, so
-// a daemon that is behind says that the request has not run and may be repeated.
-func (v *Receiver) unknown(status int, reason string) *relayer.Refusal {
+// refuseUnknown refuses what the configuration in force does not allow. If the number
+// of a newer configuration is known and its content is not, that one may allow it.
+// Callers take a 404 or 401 as final, so a daemon that is behind answers that the
+// request did not run and may be retried.
+func (v *Receiver) refuseUnknown(status int, reason string) *relayer.Refusal {
 	lag, behind := v.c.Versioner.Lag()
 	if !behind {
 		return &relayer.Refusal{Status: status, Reason: reason}
 	}
 	return &relayer.Refusal{
-		Status: http.StatusServiceUnavailable, RetryAfter: unknownRetry,
+		Status: http.StatusServiceUnavailable, RetryAfter: unknownRetryAfter,
 		Reason: fmt.Sprintf("not run: %s; configuration %d has been known of for %d ms", reason, lag.Number, time.Since(lag.Since).Milliseconds()),
 	}
 }
 
-// body reads the whole body before anything is sent on: a client that is slow,
-// or leaves half-way, then costs no endpoint anything.
-func (v *Receiver) body(w http.ResponseWriter, r *http.Request, c *catalog.Catalog, q *request.Request) *relayer.Refusal {
+// readBody reads the whole body before anything is sent on, so that a client that is
+// slow or disconnects midway costs no endpoint anything.
+func (v *Receiver) readBody(w http.ResponseWriter, r *http.Request, c *catalog.Catalog, q *request.Request) *relayer.Refusal {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil
 	}
 	limit := c.Limits().BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyPause))
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	_ = control.SetReadDeadline(time.Time{})
 	var tooLarge *http.MaxBytesError
@@ -229,7 +229,8 @@
 	return &relayer.Refusal{Status: http.StatusRequestTimeout, Reason: "not run: the body did not come whole"}
 }
 
-var kinds = map[int]refusal.Kind{
+// kindOfStatus maps the status of a refusal to its kind.
+var kindOfStatus = map[int]refusal.Kind{
 	http.StatusBadRequest: refusal.BadRequest, http.StatusUnauthorized: refusal.Unauthenticated,
 	http.StatusNotFound: refusal.UnknownService, http.StatusRequestEntityTooLarge: refusal.TooLarge,
 	http.StatusRequestTimeout: refusal.TooSlow, http.StatusTooManyRequests: refusal.OverLimit,
@@ -240,7 +241,7 @@
 func (v *Receiver) refuse(w http.ResponseWriter, q *request.Request, res *relayer.Result) {
 	res.Status, res.Reason = res.Refusal.Status, res.Refusal.Reason
 	v.c.Refuse(w.Header(), q.ID, res.Refusal.RetryAfter)
-	p := refusal.New(kinds[res.Status], res.Reason)
+	p := refusal.New(kindOfStatus[res.Status], res.Reason)
 	if res.Outcome == relayer.Unknown || res.Status == http.StatusGatewayTimeout {
 		p = p.WithOutcome(refusal.Unknown)
 	}
--- a/internal/serve/receiver/receiver_test.go
+++ b/internal/serve/receiver/receiver_test.go
@@ -13,14 +13,14 @@
 	"brasschute/internal/serve/request"
 )
 
-// observer keeps the ends of requests.
+// observer records the ends of requests.
 type observer struct{ ends []relayer.Result }
 
 func (o *observer) RequestEnded(_ *request.Request, r *relayer.Result) { o.ends = append(o.ends, *r) }
 
-// A route is added, and a daemon hears of the configuration's number before it has the
-// configuration. Callers take a 404, or a 401 for a new key, as final and give up, though
-// the other daemons serve them.
+// Guards against a final 404, or 401 for a new key, from a daemon that is behind: it
+// knows the number of the configuration that adds the route or key, but not its
+// content. Callers would give up, though other daemons serve the request.
 func TestUnknownRouteIsNotFinalWhileBehind(t *testing.T) {
 	for _, c := range []struct {
 		name, host, key string
