--- a/internal/serve/streamer/active.go
+++ b/internal/serve/streamer/active.go
@@ -8,45 +8,46 @@
 	"brasschute/internal/route/registry"
 )
 
-type active struct {
+// activeAttempt is an attempt that can be interrupted. timer moves it off a leaving host.
+type activeAttempt struct {
 	pick   *registry.Pick
 	cancel context.CancelCauseFunc
 	timer  *time.Timer
 }
 
-// timed tells the registry when an attempt's first frame came.
-type timed struct {
+// firstFrameObserver reports to the registry how long an attempt's first frame took.
+type firstFrameObserver struct {
 	Sink
-	s     *Streamer
-	pick  *registry.Pick
-	begun time.Time
-	told  bool
+	s        *Streamer
+	pick     *registry.Pick
+	begun    time.Time
+	observed bool
 }
 
 // WriteFrame passes a frame on.
-func (t *timed) WriteFrame(f *frame.Frame) error {
-	if !t.told {
-		t.told = true
+func (t *firstFrameObserver) WriteFrame(f *frame.Frame) error {
+	if !t.observed {
+		t.observed = true
 		t.s.c.Registry.ObserveFirstToken(t.pick, time.Since(t.begun))
 	}
 	return t.Sink.WriteFrame(f)
 }
 
-// enter lists an attempt for the sweep; the first sweep is made at once, as
-// the host may have begun to leave since it was chosen.
-func (s *Streamer) enter(pick *registry.Pick, cancel context.CancelCauseFunc) *active {
-	a := &active{pick: pick, cancel: cancel}
+// addActive registers an attempt. It schedules the move at once, as the host may have
+// begun to leave since it was chosen.
+func (s *Streamer) addActive(pick *registry.Pick, cancel context.CancelCauseFunc) *activeAttempt {
+	a := &activeAttempt{pick: pick, cancel: cancel}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active[a] = true
-	if s.over {
+	if s.handingOver {
 		cancel(ErrHandOver)
 	}
-	s.schedule(a)
+	s.scheduleMove(a)
 	return a
 }
 
-func (s *Streamer) exit(a *active) {
+func (s *Streamer) removeActive(a *activeAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.active, a)
@@ -55,17 +56,17 @@
 	}
 }
 
-// ScheduleMoves looks for streams whose engine has begun to leave. It is called after
-// each change of the registry.
+// ScheduleMoves schedules a move for each stream whose host has begun to leave. It must
+// be called after each change of the registry.
 func (s *Streamer) ScheduleMoves() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for a := range s.active {
-		s.schedule(a)
+		s.scheduleMove(a)
 	}
 }
 
-func (s *Streamer) schedule(a *active) {
+func (s *Streamer) scheduleMove(a *activeAttempt) {
 	if a.timer != nil {
 		return
 	}
@@ -73,20 +74,20 @@
 	if !leaving {
 		return
 	}
-	a.timer = time.AfterFunc(time.Until(deadline)-moveMargin, func() { a.cancel(errMoving) })
+	a.timer = time.AfterFunc(time.Until(deadline)-moveMargin, func() { a.cancel(errHostLeaving) })
 }
 
-func (s *Streamer) handsOver() bool {
+func (s *Streamer) isHandingOver() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.over
+	return s.handingOver
 }
 
-// HandOver interrupts all streams, present and future.
+// HandOver interrupts all present and future streams.
 func (s *Streamer) HandOver() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.over = true
+	s.handingOver = true
 	for a := range s.active {
 		a.cancel(ErrHandOver)
 	}
--- a/internal/serve/streamer/explain.go
+++ b/internal/serve/streamer/explain.go
@@ -8,7 +8,7 @@
 	"brasschute/internal/serve/recorder"
 )
 
-// RecordDecision copies a decision into an attempt's record.
+// RecordDecision copies a routing decision into the record of an attempt.
 func RecordDecision(note *recorder.Attempt, d *selector.Decision) {
 	x := d.Excluded
 	note.Excluded = fmt.Sprintf("%d leaving, %d ejected, %d full, %d in other zones, %d with another model, %d tried",
@@ -33,7 +33,7 @@
 	}
 }
 
-// RoutingSeed returns the routing seed of a request.
+// RoutingSeed returns the routing seed of a request, the FNV-1a hash of its id.
 func RoutingSeed(id identifier.Request) uint64 {
 	h := uint64(fnvOffset)
 	for i := range len(id) {
--- a/internal/serve/streamer/job.go
+++ b/internal/serve/streamer/job.go
@@ -7,66 +7,66 @@
 	"brasschute/internal/serve/refusal"
 )
 
-// Job is one answer on its way.
+// Job is the state of one answer in progress.
 type Job struct {
 	Call   *call.Call
 	Record *recorder.Record
 
-	// Offset counts the tokens that the caller has. Delivered holds them; it
-	// is shorter only after a resumption by token alone.
+	// Offset is the number of tokens that the caller has. Delivered holds these tokens;
+	// it is shorter only after a resumption by resume token alone.
 	Offset    int
 	Delivered []string
-	// Stream, Endpoint and Address tell where the stream ran last; empty
-	// before the first attempt.
+	// Stream, Endpoint and Address say where the stream ran last. They are empty before
+	// the first attempt.
 	Stream   string
 	Endpoint identifier.Endpoint
 	Address  string
 
 	attempts  int
 	maybeSent bool
-	// began: an engine accepted the stream.
-	began bool
-	tried []identifier.Endpoint
-	// moving: the last attempt ended for a reclaim, not a failure.
+	// accepted is set once an engine accepted the stream.
+	accepted bool
+	tried    []identifier.Endpoint
+	// moving means that the last attempt ended because of a reclaim, not a failure.
 	moving bool
-	// adopt: only the engine that holds the stream may go on with it.
-	adopt bool
-	// returning: this attempt goes back to the engine that holds the stream.
+	// holderOnly means that only the engine that holds the stream may resume it.
+	holderOnly bool
+	// returning means that this attempt goes back to the engine that holds the stream.
 	returning bool
-	// away: the engine that holds the stream could not be reached again, so
-	// that others come first from now on.
-	away bool
-	// returned: the job went back to its engine once after a broken
-	// connection.
+	// holderLost means that the engine that holds the stream could not be reached again,
+	// so that other engines come first.
+	holderLost bool
+	// returned is set once the job went back to its engine after a broken connection.
 	returned bool
 }
 
-// known tells whether another engine could go on.
-func (j *Job) known() bool { return len(j.Delivered) == j.Offset }
+// hasAllTokens reports whether all delivered tokens are known, so that another engine
+// could resume.
+func (j *Job) hasAllTokens() bool { return len(j.Delivered) == j.Offset }
 
-// mayWait tells whether a problem is one that time may mend: another engine
-// could go on from the tokens that are known.
-func (j *Job) mayWait(p *refusal.Problem) bool {
-	return p.Kind() == refusal.EndpointFailed && j.begun() && j.known() && !j.adopt
+// mayRecover reports whether waiting may resolve a problem: another engine could
+// resume from the tokens that are known.
+func (j *Job) mayRecover(p *refusal.Problem) bool {
+	return p.Kind() == refusal.EndpointFailed && j.mayHaveStarted() && j.hasAllTokens() && !j.holderOnly
 }
 
-// begun tells whether an engine may have started the job.
-func (j *Job) begun() bool { return j.maybeSent || j.Offset > 0 || j.Stream != "" }
+// mayHaveStarted reports whether an engine may have started the job.
+func (j *Job) mayHaveStarted() bool { return j.maybeSent || j.Offset > 0 || j.Stream != "" }
 
 func (j *Job) outcome() refusal.Outcome {
-	if j.begun() {
+	if j.mayHaveStarted() {
 		return refusal.Unknown
 	}
 	return refusal.NotRun
 }
 
-// note keeps an attempt for the explanation: the first ones, and the last in
-// the place of those that were too many.
-func (j *Job) note(a *recorder.Attempt) *recorder.Attempt {
-	if len(j.Record.Attempts) < maxNotes {
+// recordAttempt adds an attempt to the explanation. Once maxRecordedAttempts are
+// recorded, each further one replaces the last.
+func (j *Job) recordAttempt(a *recorder.Attempt) *recorder.Attempt {
+	if len(j.Record.Attempts) < maxRecordedAttempts {
 		j.Record.Attempts = append(j.Record.Attempts, *a)
 	} else {
-		j.Record.Attempts[maxNotes-1] = *a
+		j.Record.Attempts[maxRecordedAttempts-1] = *a
 	}
 	return &j.Record.Attempts[len(j.Record.Attempts)-1]
 }
--- a/internal/serve/streamer/open.go
+++ b/internal/serve/streamer/open.go
@@ -12,10 +12,10 @@
 	"brasschute/internal/serve/call"
 )
 
-// open checks the endpoint a last time and starts or resumes the stream.
+// open checks a last time that the endpoint is usable and starts or resumes the stream.
 func (s *Streamer) open(ctx context.Context, j *Job, pick *registry.Pick, state *caller.Attempt) (*caller.Stream, error) {
 	if !j.returning && !s.c.Registry.Usable(pick) {
-		return nil, errMoving
+		return nil, errHostLeaving
 	}
 	old, oldAddress := j.Stream, j.Address
 	id := fmt.Sprintf("%s.%d", j.Call.Instance, j.Offset*maxAttempts+j.attempts)
@@ -24,12 +24,12 @@
 		return s.c.Caller.Complete(ctx, pick.Address, id, engineBody(j.Call), j.Call.NonIdempotent, state)
 	}
 	if !j.returning && j.Offset == 0 && j.Call.NonIdempotent {
-		if err := s.stop(ctx, j); err != nil {
+		if err := s.confirmStopped(ctx, j); err != nil {
 			return nil, err
 		}
 	}
 	r := &resumption.Resumption{ID: id, Stream: old, Offset: j.Offset, Original: engineBody(j.Call), HeldOnly: j.returning}
-	if !j.returning && j.known() {
+	if !j.returning && j.hasAllTokens() {
 		r.Delivered = j.Delivered
 		r.KVSource = oldAddress
 	}
@@ -43,45 +43,46 @@
 	if !j.returning {
 		go s.cancel(oldAddress, old)
 	}
-	j.away = false
+	j.holderLost = false
 	j.Stream, j.Endpoint, j.Address = id, pick.Endpoint, pick.Address
 	return stream, nil
 }
 
-// stop makes the engine of a stream without tokens confirm that it dropped
-// it. Until then a start elsewhere could make a non-idempotent request run
-// twice: the first engine may be merely cut off, and go on.
-func (s *Streamer) stop(ctx context.Context, j *Job) error {
+// confirmStopped makes the engine of a stream without tokens confirm that it dropped
+// the stream. Starting elsewhere before that could run a non-idempotent request
+// twice: the first engine may only be unreachable and still be running it.
+func (s *Streamer) confirmStopped(ctx context.Context, j *Job) error {
 	if err := s.c.Caller.Cancel(ctx, j.Address, j.Stream); err != nil {
-		j.adopt = true
-		return fmt.Errorf("%w: %w", errRunning, err)
+		j.holderOnly = true
+		return fmt.Errorf("%w: %w", errNotStopped, err)
 	}
 	return nil
 }
 
-// notOpened notes what a failed opening allows next.
-func (s *Streamer) notOpened(ctx context.Context, j *Job, pick *registry.Pick, state *caller.Attempt, err error) registry.Result {
+// handleOpenError updates the job after a failed opening and returns the result for the
+// registry.
+func (s *Streamer) handleOpenError(ctx context.Context, j *Job, pick *registry.Pick, state *caller.Attempt, err error) registry.Result {
 	if d := state.Backoff(); d > 0 {
 		s.c.Registry.BackOff(pick, d)
 	}
 	refused := errors.Is(err, caller.ErrNotRun) || errors.Is(err, caller.ErrStreamNotFound)
 	sent := state.State() != caller.Unsent && !refused
-	j.moving = errors.Is(err, errMoving)
+	j.moving = errors.Is(err, errHostLeaving)
 	if j.moving {
 		j.tried = append(j.tried, pick.Endpoint)
 		return registry.Neutral
 	}
-	if errors.Is(err, errRunning) {
+	if errors.Is(err, errNotStopped) {
 		return registry.Neutral
 	}
-	fresh := j.Offset == 0 && !j.adopt && !j.began
+	fresh := j.Offset == 0 && !j.holderOnly && !j.accepted
 	j.maybeSent = j.maybeSent || sent
-	j.away = j.away || j.returning
+	j.holderLost = j.holderLost || j.returning
 	switch {
 	case fresh && !sent:
 		j.Stream, j.Endpoint, j.Address = "", "", ""
 	case fresh && j.Call.NonIdempotent:
-		j.adopt = true
+		j.holderOnly = true
 		return registry.Failed
 	case fresh:
 		go s.cancel(j.Address, j.Stream)
@@ -94,9 +95,8 @@
 	return registry.Failed
 }
 
-// engineBody is the caller's body with the pool's model instead of the
-// service's name. Members that the system does not know pass through, which
-// is why this is a map.
+// engineBody returns the caller's body with the pool's model in place of the service
+// name. It decodes into a map so that unknown members are passed through.
 func engineBody(c *call.Call) []byte {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(c.Body, &members); err != nil {
@@ -111,8 +111,8 @@
 	return out
 }
 
-// free stops what the job's engine still does for it.
-func (s *Streamer) free(j *Job) {
+// cancelCurrent cancels the job's stream at its engine.
+func (s *Streamer) cancelCurrent(j *Job) {
 	if j.Stream != "" {
 		go s.cancel(j.Address, j.Stream)
 	}
--- a/internal/serve/streamer/quarantine.go
+++ b/internal/serve/streamer/quarantine.go
@@ -11,17 +11,17 @@
 	"brasschute/internal/serve/refusal"
 )
 
-// Quarantine keeps requests from endpoints that would end under them.
+// Quarantine holds back requests that bring endpoints down.
 type Quarantine interface {
-	// Admit decides right before each send.
+	// Admit decides whether a request may be sent. It is called right before each send.
 	Admit(f identifier.Fingerprint, id identifier.Request) quarantiner.Verdict
-	// ReportBreak is told of each attempt that an endpoint broke off.
+	// ReportBreak is called for each attempt that an endpoint broke off.
 	ReportBreak(ctx context.Context, b *crashreporter.BrokenRequest)
-	// Answered is told of each request that an endpoint has run to its end.
+	// Answered is called for each request that an endpoint ran to its end.
 	Answered(f identifier.Fingerprint)
 }
 
-// QuarantineRefusal returns the refusal of a call that must not be sent; nil if it may.
+// QuarantineRefusal returns the refusal of a quarantined call, or nil if it may be sent.
 func QuarantineRefusal(q Quarantine, c *call.Call) *refusal.Problem {
 	v := q.Admit(c.Fingerprint(), c.Instance)
 	if !v.Held {
@@ -30,7 +30,7 @@
 	return refusal.New(refusal.Quarantined, "endpoints ended while they ran the same request").WithRetryAfter(v.RetryAfter)
 }
 
-// NewBreak describes a call that an endpoint broke off.
-func NewBreak(c *call.Call, pick *registry.Pick, brought int) *crashreporter.BrokenRequest {
-	return &crashreporter.BrokenRequest{Fingerprint: c.Fingerprint(), Request: c.Request, Pick: pick, Events: brought}
+// NewBreak describes a call that an endpoint broke off after it returned so many events.
+func NewBreak(c *call.Call, pick *registry.Pick, events int) *crashreporter.BrokenRequest {
+	return &crashreporter.BrokenRequest{Fingerprint: c.Fingerprint(), Request: c.Request, Pick: pick, Events: events}
 }
--- a/internal/serve/streamer/query.go
+++ b/internal/serve/streamer/query.go
@@ -8,7 +8,7 @@
 	"brasschute/internal/serve/call"
 )
 
-// NewQuery builds the routing question of a call.
+// NewQuery returns the selector's query for a call.
 func NewQuery(c *call.Call, zone identifier.AvailabilityZone, tried []identifier.Endpoint) selector.Query {
 	return selector.Query{
 		Now: time.Now(), Seed: RoutingSeed(c.Instance), Zone: zone, Zones: c.Zones, Model: c.Pool.Model,
--- a/internal/serve/streamer/streamer.go
+++ b/internal/serve/streamer/streamer.go
@@ -1,27 +1,20 @@
-// Package streamer carries a model request through to its whole answer.
+// Package streamer runs a model request until its answer is complete, over several
+// engines if necessary.
 //
-// # Surviving the engine
+// A stream runs on one engine at a time. If that engine fails, stalls, ends the
+// stream early or is about to be reclaimed, the streamer resumes on another engine
+// after the tokens already relayed, so that the caller receives each token once.
+// An announced reclaim leaves time to import the KV cache: the stream moves
+// [moveMargin] ahead of the deadline, and one that ends sooner does not move.
 //
-// A stream runs at one engine at a time. When that engine fails, freezes,
-// ends early or is about to be reclaimed, the streamer goes on at another
-// from the tokens already relayed, so that the caller sees each token once.
-// Before an announced reclaim there is time to import the KV cache: the move
-// is made [moveMargin] ahead of the deadline, and a stream that ends sooner
-// just ends.
+// A request is started anew only if no earlier attempt can have run, or if it is
+// idempotent. Resuming a stream is not a second run, as it continues one answer
+// from a known token. If a non-idempotent request may have been sent and no frame
+// came back, only the engine that may hold the stream is asked to resume it. If
+// that engine does not, the outcome is unknown, and the caller is told so.
 //
-// # What may be repeated
-//
-// A request is started anew only if no earlier attempt can have run, or if it
-// is idempotent. Going on with a stream that has begun is no second run: it
-// continues one answer from a known token. When a non-idempotent request may
-// have been sent and not one frame came back, only the engine that may hold
-// the stream is asked to go on with it; if it does not, the outcome is
-// unknown and the caller is told so.
-//
-// # Surviving the entry host
-//
-// [Streamer.HandOver] interrupts all streams; their Run returns ErrHandOver
-// and leaves the job ready to be carried on by another daemon.
+// [Streamer.HandOver] interrupts all streams when the entry host leaves. Their Run
+// returns ErrHandOver, and the jobs can be continued by another daemon.
 //
 // # Usage
 //
@@ -48,47 +41,50 @@
 )
 
 const (
-	// moveMargin is how long before its host's deadline a stream moves.
+	// moveMargin is how long before the deadline of its host a stream moves.
 	moveMargin = 1500 * time.Millisecond
-	// cancelTimeout bounds the call that frees an engine.
+	// cancelTimeout bounds the call that cancels a stream at an engine.
 	cancelTimeout = 2 * time.Second
-	// retryAfter is told to callers when no endpoint can serve.
+	// retryAfter is sent to callers when no endpoint can serve.
 	retryAfter  = 2 * time.Second
 	maxAttempts = 8
-	restTime    = 50 * time.Millisecond
-	longRest    = time.Second
-	// maxNotes bounds the attempts that an explanation keeps.
-	maxNotes = 32
-	// seedHash mixes the request's name into a routing seed (FNV-1a).
+	// A job waits retryPauseStep times its number of attempts, at most maxRetryPause,
+	// before it looks for an engine again.
+	retryPauseStep = 50 * time.Millisecond
+	maxRetryPause  = time.Second
+	// maxRecordedAttempts bounds the attempts in an explanation.
+	maxRecordedAttempts = 32
+	// fnvOffset and fnvPrime are the parameters of 64-bit FNV-1a, which hashes the
+	// request's id to a routing seed.
 	fnvOffset = 14695981039346656037
 	fnvPrime  = 1099511628211
 )
 
-// Reasons for which an attempt is interrupted from this side.
+// Reasons for which this daemon interrupts an attempt.
 var (
-	// ErrHandOver: the daemon is leaving; another must carry on.
-	ErrHandOver = errors.New("stream handed over")
-	errMoving   = errors.New("the engine's host is leaving")
-	errStalled  = errors.New("no token in time")
-	errRunning  = errors.New("the engine did not confirm that it stopped")
-	errNone     = errors.New("no engine can go on with the stream now")
+	// ErrHandOver means that the daemon is leaving and another one must continue.
+	ErrHandOver    = errors.New("stream handed over")
+	errHostLeaving = errors.New("the engine's host is leaving")
+	errStalled     = errors.New("no token in time")
+	errNotStopped  = errors.New("the engine did not confirm that it stopped")
+	errNoEngine    = errors.New("no engine can go on with the stream now")
 )
 
-// Sink receives the frames of an answer. An error means that the caller is
-// gone.
+// Sink receives the frames of an answer. An error from WriteFrame means that the
+// caller disconnected.
 type Sink interface {
 	WriteFrame(f *frame.Frame) error
 }
 
-// Config names the streamer's collaborators.
+// Config holds the dependencies and settings of a Streamer.
 type Config struct {
 	Registry *registry.Registry
 	Caller   *caller.Caller
 	Budgeter *budgeter.Budgeter
-	// Zone is the daemon's.
+	// Zone is the zone of this daemon.
 	Zone identifier.AvailabilityZone
-	// Stall is the longest pause between two tokens, FirstStall the longest
-	// before the first; 5 s and 20 s if zero.
+	// Stall is the longest time between two tokens, FirstStall the longest time to
+	// the first one; 5 s and 20 s if zero.
 	Stall      time.Duration
 	FirstStall time.Duration
 	Quarantine Quarantine
@@ -98,9 +94,9 @@
 type Streamer struct {
 	c Config
 
-	mu     sync.Mutex
-	active map[*active]bool
-	over   bool
+	mu          sync.Mutex
+	active      map[*activeAttempt]bool
+	handingOver bool
 }
 
 // New returns a streamer without jobs.
@@ -111,59 +107,59 @@
 	if c.FirstStall == 0 {
 		c.FirstStall = 20 * time.Second
 	}
-	return &Streamer{c: c, active: make(map[*active]bool)}
+	return &Streamer{c: c, active: make(map[*activeAttempt]bool)}
 }
 
-// Run carries a job to its end. It returns nil for a whole answer,
-// ErrHandOver, the context's error when the caller is gone, or a
-// *refusal.Problem.
+// Run runs a job to its end. It returns nil after a complete answer, ErrHandOver,
+// the context's error if the caller disconnected, or a *refusal.Problem.
 func (s *Streamer) Run(ctx context.Context, j *Job, sink Sink) error {
 	for {
 		err := s.attempt(ctx, j, sink)
 		if err == nil || errors.Is(err, ErrHandOver) {
 			return err
 		}
-		if errors.Is(err, errNone) && s.rest(ctx, j) {
+		if errors.Is(err, errNoEngine) && s.pauseBeforeRetry(ctx, j) {
 			continue
 		}
 		if ctx.Err() != nil {
-			s.free(j)
-			return s.ended(ctx, j)
+			s.cancelCurrent(j)
+			return s.contextError(ctx, j)
 		}
-		if errors.Is(err, errNone) {
+		if errors.Is(err, errNoEngine) {
 			return ErrHandOver
 		}
-		problem := s.final(j, err)
-		if problem != nil && (!j.mayWait(problem) || !s.rest(ctx, j)) {
+		problem := s.finalProblem(j, err)
+		if problem != nil && (!j.mayRecover(problem) || !s.pauseBeforeRetry(ctx, j)) {
 			return problem
 		}
 	}
 }
 
-// rest waits before a job that has begun looks for an engine again; false means
-// that its time is over, or that the daemon leaves. What was accepted is not
-// given up for a pool that is full, ejected or being replaced at this moment.
-func (s *Streamer) rest(ctx context.Context, j *Job) bool {
+// pauseBeforeRetry waits before a job that has begun looks for an engine again. It
+// returns false if the deadline passed or the daemon is leaving. An accepted job is
+// not given up because the pool is full, ejected or being replaced right now.
+func (s *Streamer) pauseBeforeRetry(ctx context.Context, j *Job) bool {
 	j.tried = nil
-	pause := min(restTime*time.Duration(j.attempts), longRest)
-	return waiter.For(ctx, pause) && !s.handsOver()
+	pause := min(retryPauseStep*time.Duration(j.attempts), maxRetryPause)
+	return waiter.For(ctx, pause) && !s.isHandingOver()
 }
 
-// ended tells a passed deadline from a caller that is gone.
-func (s *Streamer) ended(ctx context.Context, j *Job) error {
+// contextError distinguishes a passed deadline from a caller that disconnected.
+func (s *Streamer) contextError(ctx context.Context, j *Job) error {
 	if !errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return ctx.Err()
 	}
 	return refusal.New(refusal.DeadlinePassed, "the deadline passed").WithOutcome(j.outcome()).WithRetryAfter(retryAfter)
 }
 
-// final decides whether a failed attempt ends the job; nil means to go on.
-func (s *Streamer) final(j *Job, err error) *refusal.Problem {
+// finalProblem returns the problem with which a failed attempt ends the job, or nil if
+// the job goes on.
+func (s *Streamer) finalProblem(j *Job, err error) *refusal.Problem {
 	var problem *refusal.Problem
 	if errors.As(err, &problem) {
 		return problem
 	}
-	if !j.known() && !j.adopt {
+	if !j.hasAllTokens() && !j.holderOnly {
 		return refusal.New(refusal.StreamLost, "the engine that held the stream is gone: "+err.Error()).WithOutcome(refusal.Unknown)
 	}
 	if j.attempts >= maxAttempts || !j.moving && !s.c.Budgeter.Spend() {
@@ -172,10 +168,10 @@
 	return nil
 }
 
-// attempt runs the job at one engine.
+// attempt runs the job on one engine.
 func (s *Streamer) attempt(ctx context.Context, j *Job, sink Sink) error {
 	if held := QuarantineRefusal(s.c.Quarantine, j.Call); held != nil {
-		s.free(j)
+		s.cancelCurrent(j)
 		return held.WithOutcome(j.outcome())
 	}
 	pick, note, err := s.choose(j)
@@ -192,31 +188,31 @@
 	j.attempts++
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	a := s.enter(pick, cancel)
-	defer s.exit(a)
+	a := s.addActive(pick, cancel)
+	defer s.removeActive(a)
 
 	state := caller.Attempt{Traceparent: j.Call.Traceparent}
 	stream, err := s.open(ctx, j, pick, &state)
 	note.State = state.State().String()
 	if err != nil {
-		result = s.notOpened(ctx, j, pick, &state, err)
+		result = s.handleOpenError(ctx, j, pick, &state, err)
 		note.Outcome = err.Error()
 		if state.State() == caller.MaybeSent && ctx.Err() == nil {
 			s.c.Quarantine.ReportBreak(ctx, NewBreak(j.Call, pick, 0))
 		}
-		return cause(ctx, err)
+		return causeOf(ctx, err)
 	}
 	defer stream.Close()
-	err = s.relay(ctx, cancel, j, stream, &timed{Sink: sink, s: s, pick: pick, begun: begun})
+	err = s.relay(ctx, cancel, j, stream, &firstFrameObserver{Sink: sink, s: s, pick: pick, begun: begun})
 	if err == nil {
 		note.Outcome = "whole"
 		result = registry.Succeeded
 		s.c.Quarantine.Answered(j.Call.Fingerprint())
 		return nil
 	}
-	err = cause(ctx, err)
+	err = causeOf(ctx, err)
 	note.Outcome = err.Error()
-	j.moving = errors.Is(err, errMoving)
+	j.moving = errors.Is(err, errHostLeaving)
 	if j.moving || ctx.Err() != nil && !errors.Is(err, errStalled) {
 		return err
 	}
@@ -224,14 +220,14 @@
 	if ctx.Err() == nil {
 		s.c.Quarantine.ReportBreak(ctx, NewBreak(j.Call, pick, j.Offset-offset))
 	}
-	s.broken(j, pick, err)
+	s.afterBreak(j, pick, err)
 	return err
 }
 
-// broken decides whether to go back to an engine whose stream broke. A cut
-// connection costs nothing then, as the engine still holds the stream; a
-// second break, or an engine that is silent or confused, means to leave it.
-func (s *Streamer) broken(j *Job, pick *registry.Pick, err error) {
+// afterBreak decides whether to go back to an engine whose stream broke. After a
+// broken connection the engine still holds the stream, so that going back costs
+// nothing. After a second break, a stall or an invalid reply another engine is used.
+func (s *Streamer) afterBreak(j *Job, pick *registry.Pick, err error) {
 	if errors.Is(err, caller.ErrTruncated) && !j.returned {
 		j.returned = true
 		return
@@ -239,20 +235,20 @@
 	j.tried = append(j.tried, pick.Endpoint)
 }
 
-// cause prefers the reason for which this side ended the attempt.
-func cause(ctx context.Context, err error) error {
+// causeOf returns the reason for which this daemon cancelled the attempt, or else err.
+func causeOf(ctx context.Context, err error) error {
 	if c := context.Cause(ctx); c != nil {
 		return c
 	}
 	return err
 }
 
-// choose finds the engine for the next attempt.
+// choose selects the engine for the next attempt.
 func (s *Streamer) choose(j *Job) (*registry.Pick, *recorder.Attempt, error) {
 	note := recorder.Attempt{Resumed: j.Offset}
-	pick := s.back(j, &note)
+	pick := s.takeHolder(j, &note)
 	j.returning = pick != nil
-	if pick == nil && j.adopt {
+	if pick == nil && j.holderOnly {
 		return nil, nil, refusal.New(refusal.EndpointFailed, "the request may have been sent, and its engine no longer answers").
 			WithOutcome(refusal.Unknown).WithRetryAfter(retryAfter)
 	}
@@ -260,27 +256,27 @@
 		var d selector.Decision
 		pick, d = s.c.Registry.Choose(s.query(j))
 		if pick == nil && d.Excluded.Tried > 0 {
-			// Rather one that failed before than none at all.
+			// An engine that failed before is better than none.
 			j.tried = nil
 			pick, d = s.c.Registry.Choose(s.query(j))
 		}
 		RecordDecision(&note, &d)
 	}
-	if pick == nil && j.begun() {
-		return nil, nil, errNone
+	if pick == nil && j.mayHaveStarted() {
+		return nil, nil, errNoEngine
 	}
 	if pick == nil {
-		j.note(&note)
+		j.recordAttempt(&note)
 		return nil, nil, refusal.New(refusal.NoEndpoint, "no endpoint can serve: "+note.Excluded).WithOutcome(j.outcome()).WithRetryAfter(retryAfter)
 	}
 	note.Endpoint = pick.Endpoint
-	return pick, j.note(&note), nil
+	return pick, j.recordAttempt(&note), nil
 }
 
-// back returns to the engine that holds the stream, if there is one and the
-// job has not just left it.
-func (s *Streamer) back(j *Job, note *recorder.Attempt) *registry.Pick {
-	if j.Stream == "" || j.moving || j.away || contains(j.tried, j.Endpoint) {
+// takeHolder returns to the engine that holds the stream, if there is one and the job
+// has not just left it.
+func (s *Streamer) takeHolder(j *Job, note *recorder.Attempt) *registry.Pick {
+	if j.Stream == "" || j.moving || j.holderLost || contains(j.tried, j.Endpoint) {
 		return nil
 	}
 	pick := s.c.Registry.PickEndpoint(j.Endpoint)
@@ -308,9 +304,9 @@
 	}
 }
 
-// relay passes frames on until the stream is whole or broken.
+// relay passes frames on until the stream is complete or broken.
 func (s *Streamer) relay(ctx context.Context, cancel context.CancelCauseFunc, j *Job, stream *caller.Stream, sink Sink) error {
-	j.maybeSent, j.began = true, true
+	j.maybeSent, j.accepted = true, true
 	stall := time.AfterFunc(s.c.FirstStall, func() { cancel(errStalled) })
 	defer stall.Stop()
 	for {
@@ -325,15 +321,16 @@
 			return ctx.Err()
 		}
 		stall.Reset(s.c.Stall)
-		s.take(j, f)
+		s.recordFrame(j, f)
 		if err := sink.WriteFrame(f); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *Streamer) take(j *Job, f *frame.Frame) {
-	j.adopt = false
+// recordFrame updates the state and the record of a job with a frame.
+func (s *Streamer) recordFrame(j *Job, f *frame.Frame) {
+	j.holderOnly = false
 	if f.Usage != nil {
 		j.Record.CompletionTokens = f.Usage.CompletionTokens
 		j.Record.RecomputedTokens += f.Usage.RecomputedTokens
@@ -344,7 +341,7 @@
 	if j.Offset == 0 {
 		j.Record.FirstTokenMS = float64(time.Since(j.Call.Received).Microseconds()) / 1000
 	}
-	if j.known() {
+	if j.hasAllTokens() {
 		j.Delivered = append(j.Delivered, f.Content())
 	}
 	j.Offset++
