--- a/internal/serve/forwarder/rest_test.go
+++ b/internal/serve/forwarder/backoff_test.go
@@ -11,15 +11,16 @@
 	"brasschute/internal/platform/inventory"
 )
 
-// An endpoint turns a call away and wants rest: the next calls and streams go elsewhere, where
-// each of them was sent there first.
+// Guards against sending to an endpoint that refused a call and asked for a long
+// Retry-After: without the backoff each of the next calls and streams was sent there
+// first.
 func TestEndpointThatWantsRestGetsIt(t *testing.T) {
-	for name, send := range map[string]func(t *testing.T, m *mortal, turn int) error{
-		"call":   func(t *testing.T, m *mortal, turn int) error { return forward(t, m, newCall(turn)) },
-		"letter": func(t *testing.T, m *mortal, turn int) error { return stream(t, m, newCall(turn)) },
+	for name, send := range map[string]func(t *testing.T, m *crashingPool, turn int) error{
+		"call":   func(t *testing.T, m *crashingPool, turn int) error { return forward(t, m, newCall(turn)) },
+		"letter": func(t *testing.T, m *crashingPool, turn int) error { return stream(t, m, newCall(turn)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			m := newMortal(t, 0)
+			m := newCrashingPool(t, 0)
 			var refused atomic.Int32
 			serve := func(id string, handler http.HandlerFunc) {
 				server := httptest.NewServer(handler)
@@ -38,11 +39,11 @@
 			})
 			for turn := range 10 {
 				if err := send(t, m, turn); err == nil {
-					t.Errorf("%d: served by nobody", turn)
+					t.Errorf("%d: served, though the only endpoint refuses", turn)
 				}
 			}
 			if n := refused.Load(); n != 1 {
-				t.Errorf("%d requests came to an endpoint that had asked for rest", n-1)
+				t.Errorf("%d requests reached an endpoint that had asked for no more", n-1)
 			}
 		})
 	}
--- a/internal/serve/forwarder/forwarder.go
+++ b/internal/serve/forwarder/forwarder.go
@@ -1,18 +1,13 @@
-// Package forwarder carries a plain request to an endpoint and its answer back.
+// Package forwarder sends a plain request to an endpoint and returns its answer.
 //
-// # Whole answers only
+// An answer is read to its end before its first byte goes to the caller, so that a
+// truncated answer is detected while a retry is still possible. An answer with
+// neither a length nor chunked encoding cannot prove its end and counts as
+// truncated.
 //
-// An answer is read to its end before its first byte goes to the caller, so
-// that a truncated one can be told from a whole one while there is still a
-// choice. An answer whose end cannot be proved, having neither a length nor
-// chunks, counts as truncated.
-//
-// # What may be repeated
-//
-// An attempt that was never sent, or that the endpoint explicitly refused,
-// is made again elsewhere. One that may have been sent is made again only if
-// the request is idempotent; else the caller is told that the outcome is
-// unknown.
+// An attempt that was never sent, or that the endpoint explicitly refused, is
+// retried at another endpoint. One that may have been sent is retried only if the
+// request is idempotent. Otherwise the caller is told that the outcome is unknown.
 //
 // # Usage
 //
@@ -39,24 +34,24 @@
 )
 
 const (
-	maxAnswer   = 8 << 20
-	maxAttempts = 4
-	retryAfter  = 2 * time.Second
+	maxAnswerBytes = 8 << 20
+	maxAttempts    = 4
+	retryAfter     = 2 * time.Second
 )
 
 var (
 	errLeaving   = errors.New("the endpoint began to leave")
 	errTruncated = errors.New("the answer was truncated")
-	errTooLarge  = fmt.Errorf("the answer is larger than %d bytes", maxAnswer)
+	errTooLarge  = fmt.Errorf("the answer is larger than %d bytes", maxAnswerBytes)
 )
 
-// hopByHop are the headers that belong to one connection (RFC 9110, 7.6.1).
+// hopByHop lists the headers that belong to a single connection (RFC 9110, 7.6.1).
 var hopByHop = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade",
 }
 
-// Config names the forwarder's collaborators.
+// Config holds the dependencies of a Forwarder.
 type Config struct {
 	Registry   *registry.Registry
 	Caller     *caller.Caller
@@ -65,7 +60,7 @@
 	Quarantine streamer.Quarantine
 }
 
-// Answer is an endpoint's whole answer.
+// Answer is the complete answer of an endpoint. Header has no hop-by-hop headers.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -80,18 +75,18 @@
 // New returns a forwarder.
 func New(c Config) *Forwarder { return &Forwarder{c} }
 
-// Forward returns the whole answer, the context's error when the caller is
-// gone, or a *refusal.Problem.
+// Forward returns the complete answer, the context's error if the caller disconnected,
+// or a *refusal.Problem. It adds each attempt to rec.
 func (f *Forwarder) Forward(ctx context.Context, c *call.Call, rec *recorder.Record) (*Answer, error) {
 	var tried []identifier.Endpoint
 	maybeRan := false
 	for n := 1; ; n++ {
 		if held := streamer.QuarantineRefusal(f.c.Quarantine, c); held != nil {
-			return nil, held.WithOutcome(outcome(maybeRan))
+			return nil, held.WithOutcome(outcomeOf(maybeRan))
 		}
 		pick, problem := f.choose(c, rec, tried)
 		if problem != nil {
-			return nil, problem.WithOutcome(outcome(maybeRan))
+			return nil, problem.WithOutcome(outcomeOf(maybeRan))
 		}
 		var state caller.Attempt
 		answer, err := f.attempt(ctx, c, pick, &state)
@@ -109,30 +104,30 @@
 			f.c.Quarantine.ReportBreak(ctx, streamer.NewBreak(c, pick, 0))
 		}
 		tried = append(tried, pick.Endpoint)
-		if problem := f.final(ctx, c, err, n, maybeRan); problem != nil {
+		if problem := f.finalError(ctx, c, err, n, maybeRan); problem != nil {
 			return nil, problem
 		}
 	}
 }
 
-func outcome(maybeRan bool) refusal.Outcome {
+func outcomeOf(maybeRan bool) refusal.Outcome {
 	if maybeRan {
 		return refusal.Unknown
 	}
 	return refusal.NotRun
 }
 
-// final decides whether a failed attempt ends the request; nil means to try
-// elsewhere.
-func (f *Forwarder) final(ctx context.Context, c *call.Call, err error, n int, maybeRan bool) error {
+// finalError returns the error with which a failed attempt ends the request, or nil to
+// try another endpoint.
+func (f *Forwarder) finalError(ctx context.Context, c *call.Call, err error, n int, maybeRan bool) error {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return ctx.Err()
 	}
 	if ctx.Err() != nil {
-		return refusal.New(refusal.DeadlinePassed, "the deadline passed").WithOutcome(outcome(maybeRan)).WithRetryAfter(retryAfter)
+		return refusal.New(refusal.DeadlinePassed, "the deadline passed").WithOutcome(outcomeOf(maybeRan)).WithRetryAfter(retryAfter)
 	}
 	if maybeRan && c.NonIdempotent || n >= maxAttempts || !f.c.Budgeter.Spend() {
-		return refusal.New(refusal.EndpointFailed, err.Error()).WithOutcome(outcome(maybeRan)).WithRetryAfter(retryAfter)
+		return refusal.New(refusal.EndpointFailed, err.Error()).WithOutcome(outcomeOf(maybeRan)).WithRetryAfter(retryAfter)
 	}
 	return nil
 }
@@ -154,7 +149,7 @@
 func (f *Forwarder) attempt(ctx context.Context, c *call.Call, pick *registry.Pick, state *caller.Attempt) (*Answer, error) {
 	result := registry.Failed
 	defer func() { f.c.Registry.Release(pick, result) }()
-	r, err := request(ctx, c, pick.Address)
+	r, err := newRequest(ctx, c, pick.Address)
 	if err != nil {
 		result = registry.Neutral
 		return nil, err
@@ -177,29 +172,29 @@
 	if resp.Header.Get("Not-Run") == "true" {
 		return nil, fmt.Errorf("%w (status %d)", caller.ErrNotRun, resp.StatusCode)
 	}
-	body, err := whole(resp)
+	body, err := readWhole(resp)
 	if err != nil {
 		return nil, err
 	}
 	result = registry.Succeeded
-	return &Answer{Status: resp.StatusCode, Header: pass(resp.Header), Body: body}, nil
+	return &Answer{Status: resp.StatusCode, Header: endToEndHeaders(resp.Header), Body: body}, nil
 }
 
-func request(ctx context.Context, c *call.Call, address string) (*http.Request, error) {
+func newRequest(ctx context.Context, c *call.Call, address string) (*http.Request, error) {
 	r, err := http.NewRequestWithContext(ctx, c.Method, "http://"+address+c.Path, http.NoBody)
 	if err != nil {
 		return nil, fmt.Errorf("forward: %w", err)
 	}
-	r.Header = pass(c.Header)
+	r.Header = endToEndHeaders(c.Header)
 	r.Header.Del("Authorization")
 	r.Header.Del("Request-Timeout")
 	r.Header.Set("Request-Id", string(c.Request))
 	return r, nil
 }
 
-// pass copies the headers that belong to the message rather than to one
-// connection.
-func pass(in http.Header) http.Header {
+// endToEndHeaders copies the headers that belong to the message rather than to a
+// single connection.
+func endToEndHeaders(in http.Header) http.Header {
 	out := in.Clone()
 	for _, listed := range in.Values("Connection") {
 		for _, name := range bytes.Split([]byte(listed), []byte(",")) {
@@ -213,17 +208,17 @@
 	return out
 }
 
-// whole reads an answer that proves its own end.
-func whole(resp *http.Response) ([]byte, error) {
+// readWhole reads an answer and fails unless the answer proves its own end.
+func readWhole(resp *http.Response) ([]byte, error) {
 	bodyless := resp.Request.Method == http.MethodHead || resp.StatusCode == http.StatusNoContent || resp.StatusCode == http.StatusNotModified
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 && !bodyless {
 		return nil, errTruncated
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", errTruncated, err)
 	}
-	if len(body) > maxAnswer {
+	if len(body) > maxAnswerBytes {
 		return nil, errTooLarge
 	}
 	return body, nil
--- a/internal/serve/forwarder/forwarder_test.go
+++ b/internal/serve/forwarder/forwarder_test.go
@@ -18,8 +18,8 @@
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/engine/caller"
 	"brasschute/internal/engine/frame"
-	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/crashreporter"
+	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/route/budgeter"
@@ -33,21 +33,21 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// mortal is a pool of endpoints; each ends with the first request that it gets, its host
-// refuses connections from then on.
-type mortal struct {
+// crashingPool is a pool of endpoints that each crash on the first request: the
+// endpoint breaks the request off and refuses connections from then on.
+type crashingPool struct {
 	registry *registry.Registry
 	reporter *crashreporter.Reporter
-	ended    atomic.Int32
+	crashed  atomic.Int32
 }
 
-func newMortal(t *testing.T, endpoints int) *mortal {
+func newCrashingPool(t *testing.T, endpoints int) *crashingPool {
 	t.Helper()
-	m := &mortal{registry: registry.New(registry.Config{LeavingHosts: membertracker.New(membertracker.Config{Self: &rpc.Member{Host: "entry-1"}})})}
+	m := &crashingPool{registry: registry.New(registry.Config{LeavingHosts: membertracker.New(membertracker.Config{Self: &rpc.Member{Host: "entry-1"}})})}
 	for i := range endpoints {
 		var server *httptest.Server
 		server = httptest.NewUnstartedServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
-			m.ended.Add(1)
+			m.crashed.Add(1)
 			_ = server.Listener.Close()
 			panic(http.ErrAbortHandler)
 		}))
@@ -67,7 +67,7 @@
 	return m
 }
 
-// newCall is an arrival of the same request.
+// newCall returns one arrival of the same request.
 func newCall(instance int) *call.Call {
 	return &call.Call{
 		Request: "request", Instance: identifier.Request(fmt.Sprint("instance-", instance)), Received: time.Now(),
@@ -77,29 +77,30 @@
 	}
 }
 
-// sink takes frames of an answer that never comes.
-type sink struct{}
+// discardSink discards frames.
+type discardSink struct{}
 
-// WriteFrame takes a frame.
-func (sink) WriteFrame(*frame.Frame) error { return nil }
+// WriteFrame discards a frame.
+func (discardSink) WriteFrame(*frame.Frame) error { return nil }
 
-// A lookup, a posting that may not be repeated, and a letter end each endpoint that begins to
-// run them. Their callers come back, and each is sent on: to two endpoints and no more, and
-// later arrivals are refused as not run, to come back when the request is tried again.
+// Guards against a request that brings down one endpoint after another: a lookup, a
+// non-idempotent posting and a streamed letter crash each endpoint that begins to run
+// them, and their callers retry. Two endpoints may crash and no more. Later arrivals
+// are refused as not run, with a Retry-After until the quarantine allows a trial.
 func TestRequestsThatEndEndpointsAreHeld(t *testing.T) {
 	const endpoints, arrivals = 6, 5
 	for _, c := range []struct {
-		name string
-		send func(t *testing.T, m *mortal, c *call.Call) error
-		once bool
+		name          string
+		send          func(t *testing.T, m *crashingPool, c *call.Call) error
+		nonIdempotent bool
 	}{
 		{"lookup", forward, false}, {"posting", forward, true}, {"letter", stream, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := newMortal(t, endpoints)
+			m := newCrashingPool(t, endpoints)
 			for i := range arrivals {
 				one := newCall(i)
-				one.NonIdempotent = c.once
+				one.NonIdempotent = c.nonIdempotent
 				err := c.send(t, m, one)
 				var problem *refusal.Problem
 				if !errors.As(err, &problem) {
@@ -113,14 +114,14 @@
 					t.Errorf("the first arrival may have run: %+v", problem)
 				}
 			}
-			if n := m.ended.Load(); n != 2 {
-				t.Errorf("%d endpoints ended", n)
+			if n := m.crashed.Load(); n != 2 {
+				t.Errorf("%d endpoints crashed, want 2", n)
 			}
 		})
 	}
 }
 
-func forward(t *testing.T, m *mortal, c *call.Call) error {
+func forward(t *testing.T, m *crashingPool, c *call.Call) error {
 	t.Helper()
 	f := New(Config{Registry: m.registry, Caller: caller.New(caller.Config{}), Budgeter: budgeter.New(budgeter.Config{}), Quarantine: m.reporter})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -132,9 +133,9 @@
 	return err
 }
 
-func stream(_ *testing.T, m *mortal, c *call.Call) error {
+func stream(_ *testing.T, m *crashingPool, c *call.Call) error {
 	s := streamer.New(streamer.Config{Registry: m.registry, Caller: caller.New(caller.Config{}), Budgeter: budgeter.New(budgeter.Config{}), Quarantine: m.reporter})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	return s.Run(ctx, &streamer.Job{Call: c, Record: &recorder.Record{}}, sink{})
+	return s.Run(ctx, &streamer.Job{Call: c, Record: &recorder.Record{}}, discardSink{})
 }
