--- a/internal/serve/handler/answer.go
+++ b/internal/serve/handler/answer.go
@@ -14,20 +14,21 @@
 	"brasschute/internal/serve/streamer"
 )
 
-// answer is the shape in which a caller receives a job.
-type answer interface {
+// answerWriter sends the answer of a job in the form that the caller asked for.
+type answerWriter interface {
 	streamer.Sink
-	// whole ends a complete answer; if it is one body, it returns that and
-	// leaves its sending to the caller.
-	whole() []byte
+	// finish ends a complete answer. A writer with a single body returns the body
+	// and leaves sending it to the caller of finish.
+	finish() []byte
 	// refuse ends an answer that cannot be completed.
 	refuse(w http.ResponseWriter, p *refusal.Problem)
-	// moved tells where the rest is to be had.
+	// moved tells the caller where to get the rest.
 	moved(w http.ResponseWriter, token string)
 }
 
-// events streams an answer as server-sent events, each with a resume token.
-type events struct {
+// sseWriter streams an answer as server-sent events, each with a resume token as
+// its id.
+type sseWriter struct {
 	w       http.ResponseWriter
 	j       *streamer.Job
 	seal    func([]netip.AddrPort) string
@@ -36,9 +37,9 @@
 }
 
 // WriteFrame sends one frame.
-func (e *events) WriteFrame(f *frame.Frame) error {
+func (e *sseWriter) WriteFrame(f *frame.Frame) error {
 	e.start()
-	out := public(f, e.j.Call)
+	out := publicFrame(f, e.j.Call)
 	data, err := json.Marshal(&out)
 	if err != nil {
 		return fmt.Errorf("frame: %w", err)
@@ -46,7 +47,7 @@
 	return e.send(fmt.Sprintf("id: %s\ndata: %s\n\n", e.seal(e.own), data))
 }
 
-func (e *events) start() {
+func (e *sseWriter) start() {
 	if e.started {
 		return
 	}
@@ -55,7 +56,7 @@
 	e.w.Header().Set("Cache-Control", "no-store")
 }
 
-func (e *events) send(text string) error {
+func (e *sseWriter) send(text string) error {
 	control := http.NewResponseController(e.w)
 	_ = control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := e.w.Write([]byte(text)); err != nil {
@@ -67,13 +68,13 @@
 	return nil
 }
 
-func (e *events) whole() []byte {
+func (e *sseWriter) finish() []byte {
 	e.start()
 	_ = e.send("data: " + frame.EndMarker + "\n\n")
 	return nil
 }
 
-func (e *events) refuse(w http.ResponseWriter, p *refusal.Problem) {
+func (e *sseWriter) refuse(w http.ResponseWriter, p *refusal.Problem) {
 	if !e.started {
 		p.Write(w, e.j.Call.Request)
 		return
@@ -83,7 +84,7 @@
 	_ = e.send(fmt.Sprintf("event: error\ndata: %s\n\n", data))
 }
 
-func (e *events) moved(w http.ResponseWriter, token string) {
+func (e *sseWriter) moved(w http.ResponseWriter, token string) {
 	if !e.started {
 		redirect(w, token)
 		return
@@ -97,8 +98,9 @@
 	w.WriteHeader(http.StatusSeeOther)
 }
 
-// public gives a frame the names under which the caller knows the request.
-func public(f *frame.Frame, c *call.Call) frame.Frame {
+// publicFrame returns a copy of a frame with the request id and service name that the
+// caller knows.
+func publicFrame(f *frame.Frame, c *call.Call) frame.Frame {
 	out := *f
 	out.ID = string(c.Request)
 	out.Model = string(c.Service.Name)
@@ -111,21 +113,21 @@
 	return out
 }
 
-// collected answers with one JSON body.
-type collected struct {
+// jsonWriter answers with a single JSON body.
+type jsonWriter struct {
 	j    *streamer.Job
 	last *frame.Frame
 }
 
-// WriteFrame keeps the finishing frame; the text is in the job.
-func (a *collected) WriteFrame(f *frame.Frame) error {
+// WriteFrame keeps the finishing frame. The text is in the job.
+func (a *jsonWriter) WriteFrame(f *frame.Frame) error {
 	if f.Finished() {
 		a.last = f
 	}
 	return nil
 }
 
-func (a *collected) whole() []byte {
+func (a *jsonWriter) finish() []byte {
 	c := a.j.Call
 	text := strings.Join(a.j.Delivered, "")
 	out := frame.Frame{ID: string(c.Request), Object: "chat.completion", Created: c.Received.Unix(), Model: string(c.Service.Name)}
@@ -144,6 +146,6 @@
 	return body
 }
 
-func (a *collected) refuse(w http.ResponseWriter, p *refusal.Problem) { p.Write(w, a.j.Call.Request) }
+func (a *jsonWriter) refuse(w http.ResponseWriter, p *refusal.Problem) { p.Write(w, a.j.Call.Request) }
 
-func (a *collected) moved(w http.ResponseWriter, token string) { redirect(w, token) }
+func (a *jsonWriter) moved(w http.ResponseWriter, token string) { redirect(w, token) }
--- a/internal/serve/handler/decision.go
+++ b/internal/serve/handler/decision.go
@@ -30,8 +30,8 @@
 	return rec
 }
 
-// decide applies the rules.
-func (h *Handler) decide(c *call.Call, rec *recorder.Record) *refusal.Problem {
+// applyRules applies the first rule that matches and returns its refusal, if any.
+func (h *Handler) applyRules(c *call.Call, rec *recorder.Record) *refusal.Problem {
 	action, i, err := c.Plan.Match(h.facts(c))
 	if err != nil {
 		h.c.Logger.Warn("a rule's condition failed and was skipped", "request", c.Request, "error", err)
@@ -74,8 +74,9 @@
 	return f
 }
 
-// admitted waits for admission and a claim, and then serves.
-func (h *Handler) admitted(w http.ResponseWriter, r *http.Request, c *call.Call, rec *recorder.Record) {
+// serveAdmitted waits for admission and for the claim of a keyed request, and then
+// serves the request.
+func (h *Handler) serveAdmitted(w http.ResponseWriter, r *http.Request, c *call.Call, rec *recorder.Record) {
 	ctx, cancel := context.WithTimeout(r.Context(), c.Timeout)
 	defer cancel()
 	release, problem := h.admit(ctx, c, rec)
@@ -94,10 +95,10 @@
 		return
 	}
 	if c.Service.Kind == document.KindModel {
-		h.model(ctx, w, &streamer.Job{Call: c, Record: rec}, claim)
+		h.serveModel(ctx, w, &streamer.Job{Call: c, Record: rec}, claim)
 		return
 	}
-	h.plain(ctx, w, c, rec, claim)
+	h.servePlain(ctx, w, c, rec, claim)
 }
 
 func (h *Handler) admit(ctx context.Context, c *call.Call, rec *recorder.Record) (func(), *refusal.Problem) {
@@ -120,8 +121,8 @@
 	}
 }
 
-// claim claims a keyed request; done means that the answer of the earlier run
-// has been sent.
+// claim claims the key of a keyed request. done means that the stored answer of an
+// earlier run was sent.
 func (h *Handler) claim(ctx context.Context, w http.ResponseWriter, c *call.Call, rec *recorder.Record) (claim *claimer.Claim, problem *refusal.Problem, done bool) {
 	if c.IdempotencyKey == "" {
 		return nil, nil, false
@@ -137,7 +138,7 @@
 		rec.Claim = "claimed"
 		return claim, nil, false
 	case errors.As(err, &duplicate):
-		problem, done = h.duplicate(w, duplicate, rec)
+		problem, done = h.answerDuplicate(w, duplicate, rec)
 		return nil, problem, done
 	case c.Service.EndpointsDeduplicate:
 		rec.Claim = "not claimed: the endpoints deduplicate keys"
@@ -147,7 +148,7 @@
 	return nil, refusal.New(refusal.ClaimImpossible, "the key could not be claimed; repeat the request with the same key").WithRetryAfter(retryAfter), false
 }
 
-func (h *Handler) duplicate(w http.ResponseWriter, d *claimer.Duplicate, rec *recorder.Record) (problem *refusal.Problem, done bool) {
+func (h *Handler) answerDuplicate(w http.ResponseWriter, d *claimer.Duplicate, rec *recorder.Record) (problem *refusal.Problem, done bool) {
 	rec.Claim = d.Error()
 	switch {
 	case !d.SameRequest:
@@ -155,8 +156,8 @@
 	case !d.Prior.Done:
 		return refusal.New(refusal.InProgress, "a request with this key is under way, or its daemon failed and its outcome is not known").
 			WithOutcome(refusal.Unknown).WithRetryAfter(retryAfter), false
-	case d.Prior.ContentType == heldType:
-		collect(w, string(d.Prior.Answer))
+	case d.Prior.ContentType == heldContentType:
+		sendHeldNotice(w, string(d.Prior.Answer))
 		return nil, true
 	case len(d.Prior.Answer) == 0:
 		return refusal.New(refusal.AlreadyRan, "the request with this key ran; its answer is too large to be kept").WithOutcome(refusal.Ran), false
@@ -168,9 +169,9 @@
 	return nil, true
 }
 
-// settle tells the claim how the request ended. A claim whose outcome is
+// settleClaim updates the claim with how the request ended. A claim whose outcome is
 // unknown stays, so that the key never runs again.
-func settle(claim *claimer.Claim, err error, status int, contentType string, answer []byte) {
+func settleClaim(claim *claimer.Claim, err error, status int, contentType string, answer []byte) {
 	if claim == nil {
 		return
 	}
--- a/internal/serve/handler/handler.go
+++ b/internal/serve/handler/handler.go
@@ -1,31 +1,26 @@
-// Package handler is the callers' side of an entry daemon.
+// Package handler is the HTTP handler for callers of an entry daemon.
 //
-// # The path of a request
+// A request passes these steps:
 //
 //	parse → rules → admission → claim → route and send → relay → record
 //
-// Each step may refuse, and says which of the three outcomes holds. Nothing on
-// this path waits for the platform but the claim of a keyed request.
+// Each step may refuse the request and states which of the three outcomes holds.
+// The only step that waits for the platform is the claim of a keyed request.
 //
-// # Coming back
+// A caller whose stream broke repeats its request with the last event id, at any
+// daemon. A caller whose answer was not ready when its daemon had to leave is
+// redirected to /v1/answers/TOKEN. Both use the resume token and package transferrer,
+// and skip admission, as they were admitted before.
 //
-// A caller whose stream broke repeats its request with the last event id, at
-// any daemon; one whose answer was not ready when its daemon had to leave is
-// redirected to /v1/answers/TOKEN. Both go through package carrier and the
-// resume token, and skip admission: they were accepted once.
-//
-// # Stopping
-//
-// [Handler.Drain] goes through the phases of a graceful stop: first readiness
-// fails while everything is still served, for as long as the balancer may
-// lag; then new requests are refused as not run; at the end, what is not yet
-// answered is handed over.
+// [Handler.Drain] goes through the phases of a graceful stop. First readiness fails
+// while everything is still served, for as long as the balancer may lag. Then new
+// requests are refused as not run. At the end, unanswered requests are handed over.
 //
 // # Usage
 //
 //	h := handler.New(handler.Config{...})
 //	server := http.Server{Handler: h}
-//	h.Drain(ctx, deadline)
+//	h.Drain(lameDuck, deadline)
 package handler
 
 import (
@@ -41,7 +36,6 @@
 	"brasschute/internal/route/limiter"
 	"brasschute/internal/route/registry"
 	"brasschute/internal/serve/call"
-	"brasschute/internal/serve/transferrer"
 	"brasschute/internal/serve/claimer"
 	"brasschute/internal/serve/forwarder"
 	"brasschute/internal/serve/parser"
@@ -49,23 +43,24 @@
 	"brasschute/internal/serve/refusal"
 	"brasschute/internal/serve/sealer"
 	"brasschute/internal/serve/streamer"
+	"brasschute/internal/serve/transferrer"
 
 	"github.com/charmbracelet/log"
 	"github.com/uber-go/tally/v4"
 )
 
 const (
-	retryAfter   = 2 * time.Second
-	claimTimeout = 3 * time.Second
-	handOverTime = time.Second
+	retryAfter      = 2 * time.Second
+	claimTimeout    = 3 * time.Second
+	handOverReserve = time.Second
 )
 
-// Daemons counts the living daemons of a zone.
+// Daemons counts the live daemons of a zone.
 type Daemons interface {
 	AliveInZone(identifier.AvailabilityZone) int
 }
 
-// Config names the handler's collaborators.
+// Config holds the dependencies of a Handler.
 type Config struct {
 	Host      identifier.Host
 	Zone      identifier.AvailabilityZone
@@ -82,11 +77,11 @@
 	Daemons   Daemons
 	Logger    *log.Logger
 	Metrics   tally.Scope
-	// EarnRetry is called once a request, for the retry budget.
+	// EarnRetry is called once for each request, to fill the retry budget.
 	EarnRetry func()
 }
 
-// Handler serves callers. Use New.
+// Handler is the HTTP handler for callers. Use New.
 type Handler struct {
 	c   Config
 	mux http.ServeMux
@@ -99,7 +94,7 @@
 
 var _ http.Handler = (*Handler)(nil)
 
-// New returns a handler that serves.
+// New returns a handler in phase Serving.
 func New(c Config) *Handler {
 	h := &Handler{c: c, idle: make(chan struct{})}
 	h.mux.HandleFunc("GET /livez", h.live)
@@ -124,7 +119,7 @@
 // Recorder returns the recorder, for explanations.
 func (h *Handler) Recorder() *recorder.Recorder { return h.c.Recorder }
 
-// InFlight counts the requests being answered.
+// InFlight returns the number of requests in progress.
 func (h *Handler) InFlight() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -145,7 +140,7 @@
 	refusal.New(refusal.UnknownService, "no such path").Write(w, parser.RequestID(r))
 }
 
-// request serves model and plain requests alike up to the routing.
+// request serves model and plain requests.
 func (h *Handler) request(w http.ResponseWriter, r *http.Request) {
 	if !h.enter(r.Header.Get("Last-Event-ID") != "") {
 		h.refuseEarly(w, r, refusal.New(refusal.Draining, "this host is leaving; another one will answer").WithRetryAfter(time.Second))
@@ -173,11 +168,11 @@
 		h.resume(w, r, c, rec)
 		return
 	}
-	if problem := h.decide(c, rec); problem != nil {
+	if problem := h.applyRules(c, rec); problem != nil {
 		h.refuse(w, c, rec, problem)
 		return
 	}
-	h.admitted(w, r, c, rec)
+	h.serveAdmitted(w, r, c, rec)
 }
 
 func (h *Handler) refuseEarly(w http.ResponseWriter, r *http.Request, problem *refusal.Problem) {
@@ -187,14 +182,14 @@
 	h.finish(&recorder.Record{Request: id, Host: h.c.Host, Received: time.Now()}, problem)
 }
 
-func (h *Handler) plain(ctx context.Context, w http.ResponseWriter, c *call.Call, rec *recorder.Record, claim *claimer.Claim) {
+func (h *Handler) servePlain(ctx context.Context, w http.ResponseWriter, c *call.Call, rec *recorder.Record, claim *claimer.Claim) {
 	a, err := h.c.Forwarder.Forward(ctx, c, rec)
 	if err != nil {
-		settle(claim, err, 0, "", nil)
+		settleClaim(claim, err, 0, "", nil)
 		h.fail(w, c, rec, err)
 		return
 	}
-	h.release(ctx, w, &finished{c: c, rec: rec, claim: claim, answer: a})
+	h.release(ctx, w, &finishedAnswer{c: c, rec: rec, claim: claim, answer: a})
 	h.finish(rec, nil)
 }
 
@@ -203,7 +198,8 @@
 	h.finish(rec, problem)
 }
 
-// fail answers with the refusal of a request, if its caller is still there.
+// fail answers with the refusal of a request. If err is not a refusal, the caller
+// disconnected and nothing is sent.
 func (h *Handler) fail(w http.ResponseWriter, c *call.Call, rec *recorder.Record, err error) {
 	var problem *refusal.Problem
 	if errors.As(err, &problem) {
--- a/internal/serve/handler/model.go
+++ b/internal/serve/handler/model.go
@@ -21,58 +21,58 @@
 
 const (
 	answersPath = "/v1/answers/"
-	// writeTimeout drops a caller that does not read.
+	// writeTimeout is how long a write may block before a caller that does not read is
+	// disconnected.
 	writeTimeout = 20 * time.Second
 )
 
 func lower(name string) string { return strings.ToLower(name) }
 
-// model runs a job to its end and answers in the shape that was asked for.
-func (h *Handler) model(ctx context.Context, w http.ResponseWriter, j *streamer.Job, claim *claimer.Claim) {
+// serveModel runs a job to its end and answers in the form that was asked for.
+func (h *Handler) serveModel(ctx context.Context, w http.ResponseWriter, j *streamer.Job, claim *claimer.Claim) {
 	seal := func(holders []netip.AddrPort) string { return h.seal(j, holders) }
-	var out answer = &collected{j: j}
+	var out answerWriter = &jsonWriter{j: j}
 	if j.Call.Streaming && j.Call.HoldFor == "" {
-		out = &events{w: w, j: j, seal: seal, own: h.c.Carrier.SelfAddresses()}
+		out = &sseWriter{w: w, j: j, seal: seal, own: h.c.Carrier.SelfAddresses()}
 	}
 	err := h.c.Streamer.Run(ctx, j, out)
 	switch {
 	case err == nil:
 		h.c.Carrier.Drop(j.Call.Organisation.Name, j.Call.Instance)
-		h.whole(ctx, w, j, out, claim)
+		h.sendComplete(ctx, w, j, out, claim)
 	case errors.Is(err, streamer.ErrHandOver):
 		h.handOver(w, j, out, claim, seal)
 	default:
-		h.interrupted(w, j, out, claim, err)
+		h.endInterrupted(w, j, out, claim, err)
 	}
 	h.finish(j.Record, err)
 }
 
-// whole ends a complete answer.
-func (h *Handler) whole(ctx context.Context, w http.ResponseWriter, j *streamer.Job, out answer, claim *claimer.Claim) {
-	body := out.whole()
+// sendComplete ends a complete answer.
+func (h *Handler) sendComplete(ctx context.Context, w http.ResponseWriter, j *streamer.Job, out answerWriter, claim *claimer.Claim) {
+	body := out.finish()
 	if body == nil {
-		settle(claim, nil, http.StatusOK, "", nil)
+		settleClaim(claim, nil, http.StatusOK, "", nil)
 		return
 	}
 	a := &forwarder.Answer{Status: http.StatusOK, Header: http.Header{"Content-Type": {"application/json"}}, Body: body}
-	h.release(ctx, w, &finished{c: j.Call, rec: j.Record, claim: claim, answer: a})
+	h.release(ctx, w, &finishedAnswer{c: j.Call, rec: j.Record, claim: claim, answer: a})
 }
 
-// interrupted ends an answer that cannot be completed now. If the caller is
-// gone, the state is kept for its return.
-func (h *Handler) interrupted(w http.ResponseWriter, j *streamer.Job, out answer, claim *claimer.Claim, err error) {
+// endInterrupted ends an answer that cannot be completed now. If the caller
+// disconnected, the state is kept for its return.
+func (h *Handler) endInterrupted(w http.ResponseWriter, j *streamer.Job, out answerWriter, claim *claimer.Claim, err error) {
 	var problem *refusal.Problem
 	if !errors.As(err, &problem) {
 		h.c.Carrier.StoreLocal(envelope(j, claim))
 		return
 	}
-	settle(claim, err, 0, "", nil)
+	settleClaim(claim, err, 0, "", nil)
 	out.refuse(w, problem)
 }
 
-// handOver gives the job's state to peers and tells the caller where to come
-// back.
-func (h *Handler) handOver(w http.ResponseWriter, j *streamer.Job, out answer, claim *claimer.Claim, seal func([]netip.AddrPort) string) {
+// handOver gives the job's state to peers and tells the caller where to resume.
+func (h *Handler) handOver(w http.ResponseWriter, j *streamer.Job, out answerWriter, claim *claimer.Claim, seal func([]netip.AddrPort) string) {
 	holders := h.c.Carrier.HandOver(context.Background(), envelope(j, claim))
 	if len(holders) == 0 {
 		outcome := refusal.NotRun
@@ -80,7 +80,7 @@
 			outcome = refusal.Unknown
 		}
 		problem := refusal.New(refusal.Draining, "this host is leaving and no peer could take over").WithOutcome(outcome).WithRetryAfter(time.Second)
-		settle(claim, problem, 0, "", nil)
+		settleClaim(claim, problem, 0, "", nil)
 		out.refuse(w, problem)
 		return
 	}
@@ -112,7 +112,7 @@
 	return e
 }
 
-// modelList is the answer of GET /v1/models.
+// modelList is the body of GET /v1/models.
 type modelList struct {
 	Object string  `json:"object"`
 	Data   []model `json:"data"`
--- a/internal/serve/handler/phase.go
+++ b/internal/serve/handler/phase.go
@@ -4,33 +4,33 @@
 	"time"
 )
 
-// Phase is how far a graceful stop has come.
+// Phase is the progress of a graceful stop.
 type Phase int
 
-// The phases, in their order.
+// The phases, in order.
 const (
 	Serving Phase = iota
-	// LameDuck: not ready, but everything is still served.
+	// LameDuck means that readiness fails but everything is still served.
 	LameDuck
-	// Refusing: new requests are refused as not run.
+	// Refusing means that new requests are refused as not run. Resumptions are served.
 	Refusing
-	// HandingOver: what is unfinished goes to peers.
+	// HandingOver means that unfinished requests are handed over to peers.
 	HandingOver
 )
 
-// String names the phase.
+// String returns the name of the phase, which readiness and status show.
 func (p Phase) String() string {
 	return [...]string{"serving", "lame", "refusing", "handing over"}[p]
 }
 
-// Phase returns how far a graceful stop has come.
+// Phase returns the progress of a graceful stop.
 func (h *Handler) Phase() Phase {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.phase
 }
 
-// enter counts a request in; it reports false when requests are refused.
+// enter counts a request in flight. It returns false if the request must be refused.
 func (h *Handler) enter(resumed bool) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -46,11 +46,11 @@
 	defer h.mu.Unlock()
 	h.inFlight--
 	if h.inFlight == 0 && h.phase >= Refusing {
-		h.closeIdle()
+		h.signalIdle()
 	}
 }
 
-func (h *Handler) closeIdle() {
+func (h *Handler) signalIdle() {
 	select {
 	case <-h.idle:
 	default:
@@ -63,24 +63,24 @@
 	defer h.mu.Unlock()
 	h.phase = max(h.phase, p)
 	if h.inFlight == 0 && h.phase >= Refusing {
-		h.closeIdle()
+		h.signalIdle()
 	}
 }
 
-// Drain stops gracefully: lame for a time, then refusing until everything is
-// answered or the deadline is near, then handing over. It returns when no
-// request is in flight any more.
-func (h *Handler) Drain(lame time.Duration, deadline time.Time) {
+// Drain stops gracefully: first the lame duck phase for the given time, then refusing
+// until everything is answered or the deadline is near, then handing over. It returns
+// when no request is in flight any more, or shortly after the deadline.
+func (h *Handler) Drain(lameDuck time.Duration, deadline time.Time) {
 	h.setPhase(LameDuck)
-	wait(nil, min(lame, time.Until(deadline)/2))
+	waitFor(nil, min(lameDuck, time.Until(deadline)/2))
 	h.setPhase(Refusing)
-	wait(h.idle, time.Until(deadline)-handOverTime)
+	waitFor(h.idle, time.Until(deadline)-handOverReserve)
 	h.setPhase(HandingOver)
 	h.c.Streamer.HandOver()
-	wait(h.idle, time.Until(deadline)+handOverTime)
+	waitFor(h.idle, time.Until(deadline)+handOverReserve)
 }
 
-func wait(done <-chan struct{}, d time.Duration) {
+func waitFor(done <-chan struct{}, d time.Duration) {
 	t := time.NewTimer(max(d, 0))
 	defer t.Stop()
 	select {
--- a/internal/serve/handler/resume.go
+++ b/internal/serve/handler/resume.go
@@ -20,7 +20,7 @@
 	"brasschute/internal/serve/streamer"
 )
 
-// resume carries on a stream whose caller came back with a token.
+// resume continues a stream whose caller came back with a resume token.
 func (h *Handler) resume(w http.ResponseWriter, r *http.Request, c *call.Call, rec *recorder.Record) {
 	t, err := h.c.Sealer.Open(c.LastEventID, c.Organisation.Name)
 	if err != nil {
@@ -30,14 +30,14 @@
 	ctx, cancel := context.WithTimeout(r.Context(), c.Timeout)
 	defer cancel()
 	if e, ok := h.c.Carrier.Fetch(ctx, t); ok {
-		h.carryOn(ctx, w, e, t, rec)
+		h.continueRequest(ctx, w, e, t, rec)
 		return
 	}
 	c.Instance = t.Instance
 	rec.Instance = t.Instance
 	j := &streamer.Job{Call: c, Record: rec, Offset: t.Offset, Stream: t.Stream, Endpoint: t.Endpoint}
 	j.Address = h.address(t.Endpoint)
-	h.model(ctx, w, j, nil)
+	h.serveModel(ctx, w, j, nil)
 }
 
 func (h *Handler) address(e identifier.Endpoint) string {
@@ -72,27 +72,27 @@
 		h.refuseEarly(w, r, refusal.New(refusal.StreamLost, "no host holds this answer any more").WithOutcome(refusal.Unknown))
 		return
 	}
-	rec := &recorder.Record{Request: request(t.Instance), Host: h.c.Host, Received: time.Now(), Organisation: o.Name}
-	h.carryOn(r.Context(), w, e, t, rec)
+	rec := &recorder.Record{Request: requestID(t.Instance), Host: h.c.Host, Received: time.Now(), Organisation: o.Name}
+	h.continueRequest(r.Context(), w, e, t, rec)
 }
 
-// request returns the id by which callers know an instance.
-func request(instance identifier.Request) identifier.Request {
+// requestID returns the request id of an instance, which is what callers know.
+func requestID(instance identifier.Request) identifier.Request {
 	id, _, _ := strings.Cut(string(instance), "~")
 	return identifier.Request(id)
 }
 
-// carryOn finishes the request of an envelope. The caller has t.Offset tokens
-// of those that the envelope knows.
-func (h *Handler) carryOn(ctx context.Context, w http.ResponseWriter, e *rpc.Envelope, t *sealer.Token, rec *recorder.Record) {
+// continueRequest finishes the request of an envelope. The caller has t.Offset of the
+// tokens in the envelope.
+func (h *Handler) continueRequest(ctx context.Context, w http.ResponseWriter, e *rpc.Envelope, t *sealer.Token, rec *recorder.Record) {
 	if e.Held {
 		h.collectHeld(ctx, w, e, rec)
 		return
 	}
 	s := h.c.Keeper.Current()
-	o := organisation(&s.Plan.Configuration, t.Organisation)
+	o := findOrganisation(&s.Plan.Configuration, t.Organisation)
 	c, problem := h.c.Parser.Restore(&parser.SavedRequest{
-		Request: request(t.Instance), Instance: t.Instance, Organisation: o, Body: e.Body, Completions: e.Completions,
+		Request: requestID(t.Instance), Instance: t.Instance, Organisation: o, Body: e.Body, Completions: e.Completions,
 	}, s.Plan, s.Number())
 	if problem != nil {
 		h.fail(w, c, rec, problem.WithOutcome(refusal.Unknown))
@@ -120,10 +120,10 @@
 	if e.ClaimKey != "" {
 		claim = h.c.Claimer.Restore(e.ClaimKey, e.ClaimToken)
 	}
-	h.catchUp(ctx, w, j, t.Offset, claim)
+	h.replayMissing(ctx, w, j, t.Offset, claim)
 }
 
-func organisation(d *document.Configuration, name identifier.Organisation) *document.Organisation {
+func findOrganisation(d *document.Configuration, name identifier.Organisation) *document.Organisation {
 	for i := range d.Organisations {
 		if d.Organisations[i].Name == name {
 			return &d.Organisations[i]
@@ -132,36 +132,36 @@
 	return nil
 }
 
-// catchUp first repeats the tokens that the state knows and the caller lacks,
-// and then goes on with the stream. A caller may also be ahead of the state:
-// then nothing is repeated, and the tokens come from the engine or not at all.
-func (h *Handler) catchUp(ctx context.Context, w http.ResponseWriter, j *streamer.Job, offset int, claim *claimer.Claim) {
+// replayMissing first sends the tokens that the state has and the caller lacks, and then
+// continues the stream. A caller may also have more tokens than the state: then nothing
+// is replayed, and the rest must come from the engine.
+func (h *Handler) replayMissing(ctx context.Context, w http.ResponseWriter, j *streamer.Job, offset int, claim *claimer.Claim) {
 	if !j.Call.Streaming || j.Call.HoldFor != "" {
-		h.model(ctx, w, j, claim)
+		h.serveModel(ctx, w, j, claim)
 		return
 	}
 	if offset > j.Offset {
 		j.Offset = offset
-		h.model(ctx, w, j, claim)
+		h.serveModel(ctx, w, j, claim)
 		return
 	}
 	missing := j.Delivered[offset:]
 	seal := func(holders []netip.AddrPort) string { return h.seal(j, holders) }
-	out := &events{w: w, j: j, seal: seal, own: h.c.Carrier.SelfAddresses()}
+	out := &sseWriter{w: w, j: j, seal: seal, own: h.c.Carrier.SelfAddresses()}
 	delivered := j.Delivered
 	for i, text := range missing {
 		j.Offset = offset + i + 1
-		if err := out.WriteFrame(repeated(j, offset+i, text)); err != nil {
+		if err := out.WriteFrame(replayFrame(j, offset+i, text)); err != nil {
 			j.Offset, j.Delivered = len(delivered), delivered
-			h.interrupted(w, j, out, claim, err)
+			h.endInterrupted(w, j, out, claim, err)
 			return
 		}
 	}
 	j.Offset = len(delivered)
-	h.model(ctx, w, j, claim)
+	h.serveModel(ctx, w, j, claim)
 }
 
-func repeated(j *streamer.Job, offset int, text string) *frame.Frame {
+func replayFrame(j *streamer.Job, offset int, text string) *frame.Frame {
 	return &frame.Frame{
 		ID: j.Stream, Object: "chat.completion.chunk", Created: j.Call.Received.Unix(), Offset: offset,
 		Choices: []frame.Choice{{Delta: &frame.Message{Content: text}}},
