--- a/internal/serve/claimer/batch.go
+++ b/internal/serve/claimer/batch.go
@@ -16,7 +16,7 @@
 func (c *Claimer) drain(i int) {
 	defer c.group.Done()
 	for {
-		c.company(i)
+		c.waitForClaim(i)
 		c.mu.Lock()
 		q := &c.queues[i]
 		batch := q.pending
@@ -31,23 +31,23 @@
 	}
 }
 
-// company lets operations for which nobody waits wait a little for a claim to
-// share its write with; else each claim would cost two writes.
-func (c *Claimer) company(i int) {
+// waitForClaim lets background operations wait briefly for a claim to be written with.
+// Otherwise each claim would cost two writes.
+func (c *Claimer) waitForClaim(i int) {
 	c.mu.Lock()
 	empty := len(c.queues[i].pending) == 0
 	c.mu.Unlock()
 	if !empty {
-		c.interruptible(i, companyTime)
+		c.waitUnlessClaim(i, batchWait)
 	}
 }
 
-// interruptible waits for a time, unless a claim is pending or arrives.
-func (c *Claimer) interruptible(i int, d time.Duration) {
+// waitUnlessClaim waits for a time, unless a claim is pending or arrives.
+func (c *Claimer) waitUnlessClaim(i int, d time.Duration) {
 	wake := make(chan struct{})
 	c.mu.Lock()
 	q := &c.queues[i]
-	if slices.ContainsFunc(q.pending, func(op *operation) bool { return op.verb == claim }) {
+	if slices.ContainsFunc(q.pending, func(op *operation) bool { return op.kind == claimOperation }) {
 		c.mu.Unlock()
 		return
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-// flush settles one batch.
+// flush writes one batch and handles its failure.
 func (c *Claimer) flush(i int, batch []*operation) {
 	err := c.settle(context.Background(), i, batch)
 	if err == nil {
@@ -69,46 +69,46 @@
 	}
 	pause := time.Duration(0)
 	for _, op := range batch {
-		pause = max(pause, c.failed(i, op, err))
+		pause = max(pause, c.handleFailure(i, op, err))
 	}
-	c.rest(i, pause)
+	c.pauseAfterFailure(i, pause)
 }
 
-// rest lets a failing platform be, but a claim does not wait for that: it is
-// tried at once, so that it can be refused at once.
-func (c *Claimer) rest(i int, pause time.Duration) {
+// pauseAfterFailure waits after a failure of the platform. A claim interrupts the wait and
+// is tried at once, so that it can be refused at once.
+func (c *Claimer) pauseAfterFailure(i int, pause time.Duration) {
 	if pause > 0 {
-		c.interruptible(i, pause)
+		c.waitUnlessClaim(i, pause)
 	}
 }
 
-// failed answers an operation that could not be written. A claim is given up
-// and withdrawn; the others are tried again after the pause returned.
-func (c *Claimer) failed(i int, op *operation, err error) (pause time.Duration) {
-	if op.verb == claim {
+// handleFailure handles an operation that could not be written. A claim is given up and
+// withdrawn. Other operations are queued again, to be retried after the returned pause.
+func (c *Claimer) handleFailure(i int, op *operation, err error) (pause time.Duration) {
+	if op.kind == claimOperation {
 		op.done <- fmt.Errorf("%w: %w", ErrNotClaimed, err)
 		if errors.Is(err, object.ErrUnavailable) && !errors.Is(err, object.ErrUnknown) {
 			return 0
 		}
-		op = &operation{verb: withdraw, key: op.key, entry: op.entry, done: make(chan error, 1)}
+		op = &operation{kind: withdrawOperation, key: op.key, entry: op.entry, done: make(chan error, 1)}
 	}
-	if op.since.IsZero() {
-		op.since = time.Now()
+	if op.failedSince.IsZero() {
+		op.failedSince = time.Now()
 	}
-	age := time.Since(op.since)
-	if age > backTime || !c.push(i, op) {
+	age := time.Since(op.failedSince)
+	if age > backgroundRetryTime || !c.enqueue(i, op) {
 		return 0
 	}
-	return min(max(age/2, firstBack), longBack)
+	return min(max(age/2, minBackgroundPause), maxBackgroundPause)
 }
 
-// settle applies a batch by conditional update, reading again after each
-// conflict or lost answer. An error that may hide an effect wraps
+// settle applies a batch by conditional update, reading again after each conflict or lost
+// answer. An error after which the write may still have taken effect wraps
 // object.ErrUnknown.
 func (c *Claimer) settle(ctx context.Context, i int, batch []*operation) error {
 	q := &c.queues[i]
 	var lost error
-	for range maxTries {
+	for range maxWriteAttempts {
 		if !q.known {
 			if err := c.read(ctx, i, q); err != nil {
 				return errors.Join(lost, err)
@@ -123,7 +123,7 @@
 		if !changed {
 			continue
 		}
-		o, err := c.store.Put(ctx, key(i), q.version, next)
+		o, err := c.store.Put(ctx, shardKey(i), q.version, next)
 		switch {
 		case err == nil:
 			q.value, q.version = next, o.Version
@@ -140,9 +140,9 @@
 	return errors.Join(lost, object.ErrConflict)
 }
 
-// confirm tells whether results that need no write may be told. What was
-// decided by a remembered value is decided again by a fresh one: the prior
-// claim may have been withdrawn since.
+// confirm reports whether results that need no write may be delivered. A result computed
+// from a remembered value is computed again from a fresh one, as the prior claim may have
+// been withdrawn since.
 func (c *Claimer) confirm(ctx context.Context, i int, q *queue, results []error, remembered bool) bool {
 	if !remembered {
 		return true
@@ -161,7 +161,7 @@
 }
 
 func (c *Claimer) read(ctx context.Context, i int, q *queue) error {
-	o, err := c.store.Get(ctx, key(i))
+	o, err := c.store.Get(ctx, shardKey(i))
 	if errors.Is(err, object.ErrMissing) {
 		q.value, q.version, q.known = shard{}, object.Absent, true
 		return nil
@@ -183,8 +183,8 @@
 	}
 }
 
-// apply computes a shard's next value and each operation's result. It leaves
-// the given value as it is.
+// apply computes a shard's next value and the result of each operation. It does not
+// modify v.
 func apply(v shard, batch []*operation, now time.Time) (next shard, results []error, changed bool) {
 	next.Entries = make(map[string]Entry, len(v.Entries)+len(batch))
 	size := 0
@@ -197,25 +197,25 @@
 	}
 	results = make([]error, len(batch))
 	for n, op := range batch {
-		did, err := next.one(op, &size, now)
+		did, err := next.applyOne(op, &size, now)
 		results[n] = err
 		changed = changed || did
 	}
 	return next, results, changed
 }
 
-func (v *shard) one(op *operation, size *int, now time.Time) (changed bool, err error) {
+func (v *shard) applyOne(op *operation, size *int, now time.Time) (changed bool, err error) {
 	prior, exists := v.Entries[op.key]
 	owned := exists && prior.Token == op.entry.Token
-	switch op.verb {
-	case claim:
+	switch op.kind {
+	case claimOperation:
 		if owned {
 			return false, nil
 		}
 		if exists {
 			return false, &Duplicate{Prior: prior, SameRequest: prior.Digest == op.entry.Digest}
 		}
-		if *size+op.entry.bytes() > maxShard {
+		if *size+op.entry.bytes() > maxShardBytes {
 			return false, fmt.Errorf("%w: the shard is full of claims younger than %s", ErrNotClaimed, Retention)
 		}
 		*size += op.entry.bytes()
@@ -223,13 +223,13 @@
 		e.At = now.Unix()
 		v.Entries[op.key] = e
 		return true, nil
-	case finish:
+	case finishOperation:
 		if !owned || prior.Done {
 			return false, nil
 		}
 		e := op.entry
 		e.At, e.Digest = prior.At, prior.Digest
-		if *size+len(e.Answer)*4/3 > maxShard {
+		if *size+len(e.Answer)*4/3 > maxShardBytes {
 			e.Answer = nil
 		}
 		v.Entries[op.key] = e
--- a/internal/serve/claimer/claimer.go
+++ b/internal/serve/claimer/claimer.go
@@ -1,38 +1,31 @@
-// Package claimer makes keyed requests run at most once over the whole fleet.
+// Package claimer makes requests with an idempotency key run at most once over the
+// whole fleet.
 //
-// # Claims
+// Before the first byte of a keyed request goes to an endpoint, its key is claimed
+// on the platform. A claim holds a random token, by which its owner recognises it,
+// and a digest of the request, by which a key reused with another body is detected.
+// A daemon that finds the key claimed with another token does not run the request.
 //
-// Before the first byte of a keyed request goes to an endpoint, its key is
-// claimed on the platform. A claim holds a random token, by which its owner
-// knows it again, and a digest of the request, so that a key reused with
-// another body is found out. Whoever finds the key claimed by somebody else
-// does not run the request.
+// Claims are kept in [Shards] objects, chosen by a hash of the key. Each is written
+// by conditional update only, so that no daemon needs to own a shard. Claims that
+// arrive during a write are batched into the next one. A result that is recorded
+// after a request waits briefly for a claim to be written with, so that a busy
+// daemon makes less than one write a request.
 //
-// # Shards and batches
+// If the answer to a write is lost, the write may have taken effect, may do so
+// later, or never. The claimer then reads the shard. If its token is there, it owns
+// the claim. Otherwise it writes again under the version it read. Either that write
+// takes effect, and the lost one no longer can, as its version is gone; or it
+// conflicts because the lost one took effect, and the next read shows the token.
 //
-// Claims are kept in [Shards] objects, chosen by a hash of the key, each
-// written by conditional update only. All claims that arrive while a write is
-// under way go into the next one, and what is recorded after a request waits
-// a little for a claim to travel with, so that a busy daemon makes less than
-// one write a request. No daemon needs to own a shard: the conditional update
-// alone is what is safe.
-//
-// # Lost answers
-//
-// When the answer to a write is lost, the write may stand, may still come, or
-// may never come. The claimer reads back: finding its token it owns the claim;
-// else it writes again under the version it read. Either that write takes
-// effect, and the lost one can no longer, as its version is gone; or it
-// conflicts, because the lost one took effect, and reading shows the token.
-//
-// A claimer that gives up, as the platform no longer answers, reports that the
+// A claimer that gives up because the platform does not answer reports that the
 // request did not run, and withdraws the claim in the background. Withdrawing
-// writes the shard even if the claim is not in it: that makes the condition of
-// a write still on its way fail.
+// writes the shard even if the claim is not in it, so that the condition of a write
+// still on its way fails.
 //
 // # Usage
 //
-//	claim, err := c.Claim(ctx, claimer.Key{...})
+//	claim, err := c.Claim(ctx, &claimer.Key{...})
 //	var d *claimer.Duplicate
 //	if errors.As(err, &d) { answer from d.Prior }
 //	defer claim.Release() // if nothing was sent, or
@@ -53,59 +46,60 @@
 )
 
 const (
-	// Shards is fixed: changing it would hide earlier claims.
+	// Shards is the number of shards. It must not change, as that would hide earlier claims.
 	Shards = 64
 	// Retention is how long a key is remembered.
 	Retention = 24 * time.Hour
-	// maxShard bounds a shard's entries by their estimated bytes.
-	maxShard   = 256 << 10
-	entryBytes = 160
-	// maxAnswer is the largest answer kept for replay.
-	maxAnswer  = 2 << 10
-	maxTries   = 12
-	retryPause = 5 * time.Millisecond
-	maxPending = 4096
-	// backTime is how long an operation in the background is tried again, with
-	// pauses that grow from firstBack to longBack: an outage may last, and a
-	// claim that is not withdrawn blocks its key.
-	backTime    = 30 * time.Minute
-	firstBack   = 250 * time.Millisecond
-	longBack    = 5 * time.Second
-	companyTime = 400 * time.Millisecond
-	keyBytes    = 16
-	tokenBytes  = 12
+	// maxShardBytes bounds the estimated size of a shard's entries; entryBytes is the
+	// estimate of an entry without its answer.
+	maxShardBytes = 256 << 10
+	entryBytes    = 160
+	// maxAnswerBytes is the largest answer that is kept for replay.
+	maxAnswerBytes   = 2 << 10
+	maxWriteAttempts = 12
+	retryPause       = 5 * time.Millisecond
+	maxPending       = 4096
+	// backgroundRetryTime is how long a background operation is retried, with pauses that
+	// grow from minBackgroundPause to maxBackgroundPause. An outage may last, and a claim
+	// that is not withdrawn blocks its key.
+	backgroundRetryTime = 30 * time.Minute
+	minBackgroundPause  = 250 * time.Millisecond
+	maxBackgroundPause  = 5 * time.Second
+	// batchWait is how long background operations wait for a claim to be written with.
+	batchWait  = 400 * time.Millisecond
+	keyBytes   = 16
+	tokenBytes = 12
 )
 
 // Store is the platform's object API.
 type Store interface {
 	Get(ctx context.Context, key string) (object.Object, error)
 	Put(ctx context.Context, key string, ifVersion uint64, value any) (object.Object, error)
-	// Now is the platform's clock.
+	// Now returns the time of the platform.
 	Now() time.Time
 }
 
-// Config names the store.
+// Config holds the dependencies of a Claimer.
 type Config struct {
 	Store Store
 }
 
-// ErrNotClaimed is returned when the platform could not take the claim;
-// nothing ran.
+// ErrNotClaimed is returned if the claim could not be stored. Nothing was run.
 var ErrNotClaimed = errors.New("claim not possible")
 
-// Duplicate is the error of a key that is claimed already.
+// Duplicate is the error for a key that is claimed already.
 type Duplicate struct {
 	Prior Entry
-	// SameRequest tells whether the digests agree.
+	// SameRequest is set if the digests of both requests are equal.
 	SameRequest bool
 }
 
-// Error names the state of the prior claim.
+// Error describes the state of the prior claim.
 func (d *Duplicate) Error() string {
 	return fmt.Sprintf("key claimed already (done: %t, same request: %t)", d.Prior.Done, d.SameRequest)
 }
 
-// Claim is an owned claim.
+// Claim is a claim that this process owns.
 type Claim struct {
 	c     *Claimer
 	shard int
@@ -113,8 +107,8 @@
 	entry Entry
 }
 
-// Restore rebuilds a claim from its names, for whoever finishes a request
-// that another daemon began.
+// Restore rebuilds a claim from its identity, for a daemon that finishes a request which
+// another daemon began. It returns nil if the key is malformed.
 func (c *Claimer) Restore(key, token string) *Claim {
 	raw, err := hex.DecodeString(key)
 	if err != nil || len(raw) == 0 {
@@ -123,38 +117,38 @@
 	return &Claim{c: c, shard: int(raw[0]) % Shards, key: key, entry: Entry{Token: token}}
 }
 
-// Identity returns what Restore needs.
+// Identity returns the hashed key and the token, as Restore takes them.
 func (m *Claim) Identity() (key, token string) { return m.key, m.entry.Token }
 
-type verb int
+type operationKind int
 
 const (
-	claim verb = iota
-	finish
-	withdraw
+	claimOperation operationKind = iota
+	finishOperation
+	withdrawOperation
 )
 
 type operation struct {
-	verb  verb
+	kind  operationKind
 	key   string
 	entry Entry
-	// since is when the operation first failed, zero before.
-	since time.Time
-	done  chan error
+	// failedSince is when the operation first failed, zero before that.
+	failedSince time.Time
+	done        chan error
 }
 
 type queue struct {
 	pending []*operation
 	busy    bool
-	// wake interrupts the wait for company of a batch without a claim.
+	// wake is closed when a claim arrives while a batch without one waits.
 	wake chan struct{}
-	// value and version are those last seen, to save a read.
+	// value and version are the last ones seen, kept to save a read.
 	value   shard
 	version uint64
 	known   bool
 }
 
-// Claimer makes claims. It is safe for concurrent use.
+// Claimer claims keys. It is safe for concurrent use.
 type Claimer struct {
 	store Store
 
@@ -166,16 +160,16 @@
 // New returns a claimer.
 func New(c Config) *Claimer { return &Claimer{store: c.Store} }
 
-// Claim claims a key. The error is a *Duplicate, or wraps ErrImpossible or
-// the context's error; after the latter two nothing may be run.
+// Claim claims a key. The error is a *Duplicate, or wraps ErrNotClaimed or the context's
+// error. After the latter two nothing may be run.
 func (c *Claimer) Claim(ctx context.Context, k *Key) (*Claim, error) {
 	h := k.hash()
 	token := make([]byte, tokenBytes)
 	_, _ = rand.Read(token)
 	m := &Claim{c: c, shard: int(h[0]) % Shards, key: hex.EncodeToString(h[:keyBytes])}
 	m.entry = Entry{Token: base64.RawURLEncoding.EncodeToString(token), Digest: k.Digest}
-	op := &operation{verb: claim, key: m.key, entry: m.entry, done: make(chan error, 1)}
-	if !c.push(m.shard, op) {
+	op := &operation{kind: claimOperation, key: m.key, entry: m.entry, done: make(chan error, 1)}
+	if !c.enqueue(m.shard, op) {
 		return nil, fmt.Errorf("%w: too many claims wait", ErrNotClaimed)
 	}
 	select {
@@ -190,25 +184,26 @@
 	}
 }
 
-// Finish records, in the background, that the request ran, and its answer.
+// Finish records, in the background, that the request ran, with its answer unless that is
+// too large.
 func (m *Claim) Finish(status int, contentType string, answer []byte) {
 	e := m.entry
 	e.Done = true
 	e.Status = status
-	if len(answer) <= maxAnswer {
+	if len(answer) <= maxAnswerBytes {
 		e.ContentType = contentType
 		e.Answer = answer
 	}
-	m.c.push(m.shard, &operation{verb: finish, key: m.key, entry: e, done: make(chan error, 1)})
+	m.c.enqueue(m.shard, &operation{kind: finishOperation, key: m.key, entry: e, done: make(chan error, 1)})
 }
 
-// Release withdraws, in the background, the claim of a request that did not
-// run, so that it can be tried again.
+// Release withdraws, in the background, the claim of a request that did not run, so that
+// the key can be used again.
 func (m *Claim) Release() {
-	m.c.push(m.shard, &operation{verb: withdraw, key: m.key, entry: m.entry, done: make(chan error, 1)})
+	m.c.enqueue(m.shard, &operation{kind: withdrawOperation, key: m.key, entry: m.entry, done: make(chan error, 1)})
 }
 
-// Wait returns when no operation is pending any more, or after a time, for a
+// Wait returns when no operation is pending, or after the given time. It is for a
 // graceful stop.
 func (c *Claimer) Wait(most time.Duration) {
 	done := make(chan struct{})
@@ -224,8 +219,8 @@
 	}
 }
 
-// push queues an operation; it reports false when the queue is full.
-func (c *Claimer) push(i int, op *operation) bool {
+// enqueue queues an operation. It returns false if the queue is full.
+func (c *Claimer) enqueue(i int, op *operation) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	q := &c.queues[i]
@@ -233,7 +228,7 @@
 		return false
 	}
 	q.pending = append(q.pending, op)
-	if op.verb == claim && q.wake != nil {
+	if op.kind == claimOperation && q.wake != nil {
 		close(q.wake)
 		q.wake = nil
 	}
--- a/internal/serve/claimer/claimer_test.go
+++ b/internal/serve/claimer/claimer_test.go
@@ -24,19 +24,19 @@
 	losesAnswer
 	// losesRequest loses the write itself.
 	losesRequest
-	// delays loses the answer and applies the write later, if it still may.
+	// delays loses the answer and applies the write later, if its condition still holds.
 	delays
 	down
 	modes
 )
 
-// store is a platform that fails by a script.
+// store is a platform whose writes fail as scripted and whose next reads fail failedReads times.
 type store struct {
-	mu      sync.Mutex
-	objects map[string]object.Object
-	version uint64
-	script  []mode
-	blind   int
+	mu          sync.Mutex
+	objects     map[string]object.Object
+	version     uint64
+	script      []mode
+	failedReads int
 }
 
 func newStore(script ...mode) *store {
@@ -48,8 +48,8 @@
 func (s *store) Get(_ context.Context, key string) (object.Object, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.blind > 0 {
-		s.blind--
+	if s.failedReads > 0 {
+		s.failedReads--
 		return object.Object{}, object.ErrUnavailable
 	}
 	o, ok := s.objects[key]
@@ -97,18 +97,19 @@
 	return o, nil
 }
 
-func key1(digest string) *Key {
+func testKey(digest string) *Key {
 	return &Key{Organisation: "o", Service: "s", Key: "k", Digest: digest}
 }
 
 func TestClaimFaults(t *testing.T) {
-	// One claim against a store that fails in each way: whether it is owned,
-	// and whether the key can be claimed afterwards if it was given up.
+	// One claim against a store that fails in each way. Guards against a lost answer
+	// that makes the owner give up its claim, and against a claim that was given up
+	// but still blocks the key.
 	cases := []struct {
-		name   string
-		script []mode
-		blind  int
-		owned  bool
+		name        string
+		script      []mode
+		failedReads int
+		owned       bool
 	}{
 		{"works", nil, 0, true},
 		{"answer lost", []mode{losesAnswer}, 0, true},
@@ -124,18 +125,18 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newStore(c.script...)
 				a := New(Config{Store: s})
-				if c.blind > 0 {
+				if c.failedReads > 0 {
 					// The first read succeeds; those after the write fail.
-					a.queues[int(key1("d").shard())].known = true
-					s.blind = c.blind
+					a.queues[int(testKey("d").shard())].known = true
+					s.failedReads = c.failedReads
 				}
-				m, err := a.Claim(t.Context(), key1("d"))
+				m, err := a.Claim(t.Context(), testKey("d"))
 				if (err == nil) != c.owned {
 					t.Fatalf("owned %t, error %v", m != nil, err)
 				}
 				time.Sleep(10 * time.Second)
 				a.Wait(time.Minute)
-				_, err = New(Config{Store: s}).Claim(t.Context(), key1("d"))
+				_, err = New(Config{Store: s}).Claim(t.Context(), testKey("d"))
 				if c.owned != errors.As(err, new(*Duplicate)) {
 					t.Fatalf("a second claimer: %v", err)
 				}
@@ -153,14 +154,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		a, b := New(Config{Store: s}), New(Config{Store: s})
-		m, err := a.Claim(t.Context(), key1("d"))
+		m, err := a.Claim(t.Context(), testKey("d"))
 		if err != nil {
 			t.Fatal(err)
 		}
 		expect := func(step string, digest string, check func(*Duplicate) bool) {
 			t.Helper()
 			var d *Duplicate
-			if _, err := b.Claim(t.Context(), key1(digest)); !errors.As(err, &d) || !check(d) {
+			if _, err := b.Claim(t.Context(), testKey(digest)); !errors.As(err, &d) || !check(d) {
 				t.Fatalf("%s: %v", step, err)
 			}
 		}
@@ -173,14 +174,14 @@
 		a.Wait(time.Minute)
 		expect("a finished claim cannot be withdrawn", "d", func(d *Duplicate) bool { return d.Prior.Done })
 		time.Sleep(Retention + time.Minute)
-		if _, err := b.Claim(t.Context(), key1("d")); err != nil {
+		if _, err := b.Claim(t.Context(), testKey("d")); err != nil {
 			t.Fatalf("after the retention: %v", err)
 		}
 	})
 }
 
 func TestClaimBatches(t *testing.T) {
-	// Claims that arrive while a write is under way share the next one.
+	// Claims that arrive during a write must share the next one.
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore()
 		a := New(Config{Store: s})
@@ -201,8 +202,8 @@
 }
 
 func TestClaimAtMostOneOwner(t *testing.T) {
-	// Several claimers, any script of failures: of all claims of one key that
-	// were not withdrawn at most one is owned, at every moment.
+	// Several claimers and any script of failures: at any time at most one claim of
+	// a key is owned and not withdrawn.
 	rapid.Check(t, func(rt *rapid.T) {
 		script := rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(modes)-1), func(i int) mode { return mode(i) }), 0, 12).Draw(rt, "script")
 		rounds := rapid.SliceOfN(rapid.SliceOfN(rapid.Bool(), 3, 3), 1, 4).Draw(rt, "releases by round and claimer")
@@ -214,8 +215,8 @@
 	})
 }
 
-// contend lets three claimers claim one key in each round, and returns the
-// highest number of owners at once.
+// contend lets three claimers claim one key in each round and returns the highest number
+// of owners at a time.
 func contend(s *store, rounds [][]bool) (most int) {
 	claimers := []*Claimer{New(Config{Store: s}), New(Config{Store: s}), New(Config{Store: s})}
 	owned := 0
@@ -224,7 +225,7 @@
 		var group sync.WaitGroup
 		for i, c := range claimers {
 			group.Go(func() {
-				m, err := c.Claim(context.Background(), key1("d"))
+				m, err := c.Claim(context.Background(), testKey("d"))
 				if err != nil {
 					return
 				}
--- a/internal/serve/claimer/record.go
+++ b/internal/serve/claimer/record.go
@@ -8,12 +8,12 @@
 	"brasschute/internal/platform/inventory"
 )
 
-// Key names what is claimed.
+// Key identifies a claim.
 type Key struct {
 	Organisation identifier.Organisation
 	Service      identifier.Service
 	Key          string
-	// Digest is that of the request.
+	// Digest is the digest of the request.
 	Digest string
 }
 
@@ -21,13 +21,14 @@
 	return sha256.Sum256(fmt.Appendf(nil, "%d:%s%d:%s%s", len(k.Organisation), k.Organisation, len(k.Service), k.Service, k.Key))
 }
 
-// Entry is one claim as it is kept.
+// Entry is a claim as stored.
 type Entry struct {
 	Token  string
 	Digest string
-	// At is the platform's time in Unix seconds.
+	// At is the platform's time of the claim, in Unix seconds.
 	At int64
-	// Done: the request ran; the rest is its answer, if short enough.
+	// Done means that the request ran. The fields below are its answer, if it is small
+	// enough.
 	Done        bool
 	Status      int    `json:",omitempty"`
 	ContentType string `json:",omitempty"`
@@ -40,4 +41,4 @@
 	Entries map[string]Entry
 }
 
-func key(i int) string { return fmt.Sprintf("%s%02d", inventory.ClaimPrefix, i) }
+func shardKey(i int) string { return fmt.Sprintf("%s%02d", inventory.ClaimPrefix, i) }
