--- a/internal/serve/placer/placer.go
+++ b/internal/serve/placer/placer.go
@@ -1,19 +1,17 @@
-// Package placer asks the registry for the endpoint of a request.
+// Package placer chooses the endpoint of a request by querying the registry.
 //
-// # What decides
+// The selector weighs the predicted time to the first event against the cost of an
+// endpoint: prompt tokens that would be computed again although another engine has
+// them cached, and bytes carried between zones. This package computes these terms
+// for a request; package selector makes the choice.
 //
-// The selector weighs the predicted time to the first event against what the
-// place costs: prompt parts that would be read again although another engine
-// has them, and bytes between zones. This package states these terms for one
-// request; the choice itself is the selector's, see there.
-//
-// A prompt whose shared parts are long has a home, the same for all daemons; one
-// with a short shared part stays in its zone, as reading the part twice costs
-// less than carrying the answer.
+// A prompt with a long shared prefix has a home endpoint, which is the same for all
+// daemons. One with a short shared prefix stays in its zone, as computing the prefix
+// again costs less than carrying the answer to another zone.
 //
 // # Usage
 //
-//	pick, decision := p.Place(q, tried)
+//	pick, decision := p.Place(q, service, tried, versions)
 //	defer registry.Release(pick, result)
 package placer
 
@@ -33,31 +31,31 @@
 )
 
 const (
-	// tokenCost is the cost of reading a prompt token that another engine has cached.
-	// It is the unit of the others, which are ratios to it: what is late, read again
-	// and carried has no price in the configuration. The unit is chosen so that a plain
-	// call that is late costs one.
+	// tokenCost is the cost of computing a prompt token that another engine has cached.
+	// The other costs are ratios to it, as lateness, recomputation and transfer have no
+	// price in the configuration. Its value makes a late plain call cost 1.
 	tokenCost       = 2.7e-5
 	recomputeWeight = 1000 * tokenCost
 	// zoneCostPerByte is the cost of carrying a byte between zones.
 	zoneCostPerByte = 0.045 * tokenCost
-	// worthPerToken is what a late answer loses for each of its tokens: six times what
-	// reading one costs. Output tokens count outputFactor times, as they take more of
-	// an engine's time; leastWorth is that of the smallest request.
-	worthPerToken = 6 * tokenCost
-	outputFactor  = 10
-	leastWorth    = 7500 * tokenCost
-	// eventBytes is the usual size of one event on the wire.
+	// lateCostPerToken is the cost of a late answer per token: six times the cost of
+	// computing a prompt token. Output tokens count outputFactor times, as they take more
+	// of an engine's time. minLateCost is the cost for the smallest request.
+	lateCostPerToken = 6 * tokenCost
+	outputFactor     = 10
+	minLateCost      = 7500 * tokenCost
+	// eventBytes is the usual size of an event on the wire.
 	eventBytes = 64
-	// homeTokens is the size of shared prompt parts from which on a request
-	// goes to the home of these parts: reading 1,000 tokens again costs as much
-	// as carrying 20 KB to another zone.
-	homeTokens identifier.Tokens = 1000
-	// plainSlots bounds the requests of this host at one plain endpoint, whose
-	// slots are few and shared by all hosts.
-	plainSlots = 16
-	// lastsFactor/lastsPart times the usual time of its tokens is what a stream may take.
-	lastsFactor, lastsPart = 5, 4
+	// minHomeTokens is the size of a shared prefix from which on a request goes to the home
+	// of the prefix: computing 1,000 tokens again costs as much as carrying 20 KB to
+	// another zone.
+	minHomeTokens identifier.Tokens = 1000
+	// maxPlainInFlight bounds the requests of this host at one plain endpoint, whose slots
+	// are few and shared by all hosts.
+	maxPlainInFlight = 16
+	// usualFactor/usualDivisor times the predicted generation time of its output tokens is
+	// the time that the tokens of a stream may usually take.
+	usualFactor, usualDivisor = 5, 4
 )
 
 // Placer places requests. It is safe for concurrent use.
@@ -65,27 +63,28 @@
 	c Config
 }
 
-// Config names the placer's collaborators.
+// Config holds the dependencies of a Placer.
 type Config struct {
 	Registry *registry.Registry
-	// Estimator says how fast engines read.
+	// Estimator predicts the prefill and decode speed of engines.
 	Estimator *estimator.Estimator
-	Zone      identifier.AvailabilityZone
+	// Zone is the zone of this daemon.
+	Zone identifier.AvailabilityZone
 }
 
 // New returns a placer.
 func New(c Config) *Placer { return &Placer{c} }
 
-// Place chooses an endpoint for a request and counts the request there. The
-// pick is nil if none can serve; decision says why.
+// Place chooses an endpoint for a request and counts the request there. The pick is nil
+// if no endpoint can serve; the decision says why.
 func (p *Placer) Place(q *request.Request, s *catalog.Service, tried []identifier.Endpoint, v selector.VersionFilter) (*registry.Pick, selector.Decision) {
 	now := time.Now()
-	blocks, sizes := parts(q)
+	blocks, sizes := prefixBlocks(q)
 	query := &registry.Query{
 		Pool: identifier.Pool(q.Service), Blocks: blocks, Sizes: sizes,
 		Select: selector.Query{
 			Now: now, Seed: streamer.RoutingSeed(q.ID), Zone: p.c.Zone, PromptTokens: q.PromptTokens, OutputTokens: q.OutputTokens,
-			MaxInFlight: plainSlots, Target: max(q.Route.FirstEventObjective-now.Sub(q.Received), time.Millisecond),
+			MaxInFlight: maxPlainInFlight, Target: max(q.Route.FirstEventObjective-now.Sub(q.Received), time.Millisecond),
 			PrefillRate: int(p.c.Estimator.Estimate(q.Service, now).Speed), DecodeRate: int(time.Second / p.c.Estimator.TokenInterval(q.Service)),
 			RecomputeWeight: recomputeWeight, Tried: tried, Versions: v, LateCost: lateCost(q),
 			CrossZoneCost: zoneCostPerByte * float64(len(q.Body)+eventBytes*int(q.OutputTokens)/tokensPerEvent(s)),
@@ -95,14 +94,14 @@
 		query.Select.Slots = max(s.Engine.Slots, 1)
 		query.Select.MaxInFlight = query.Select.Slots
 	}
-	// The last block names all shared parts.
-	if n := len(blocks); n > 0 && sizes[n-1] >= homeTokens {
+	// The last block identifies the whole shared prefix.
+	if n := len(blocks); n > 0 && sizes[n-1] >= minHomeTokens {
 		query.Select.Prefix, query.Select.PriorTokens = uint64(blocks[n-1]), sizes[n-1]
 	}
 	return p.c.Registry.Choose(query)
 }
 
-// ObserveFirstEvent takes in how long a pick took to its first event, or to its answer.
+// ObserveFirstEvent records how long a pick took to the first event, or to the answer.
 func (p *Placer) ObserveFirstEvent(q *request.Request, k *registry.Pick, took time.Duration) {
 	p.c.Registry.ObserveFirstToken(k, took)
 	if !q.HasTokenCounts {
@@ -111,13 +110,13 @@
 	p.c.Estimator.ObserveFirstEvent(q.Service, estimator.Observation{Uncached: k.UncachedTokens, TokensAhead: k.TokensAhead, Streams: k.Streams, Took: took})
 }
 
-// ObserveStream takes in a stream that has ended, from its first event to its last.
+// ObserveStream records how long an ended stream took from its first event to its last.
 func (p *Placer) ObserveStream(q *request.Request, s *catalog.Service, events int, took time.Duration) {
 	p.c.Estimator.ObserveStream(q.Service, (events-1)*tokensPerEvent(s), took)
 }
 
-// ExpectedDuration is how long a stream of so many events takes at an endpoint that is as quick as
-// others; 0 for a plain call, of which nothing is known but how long others took.
+// ExpectedDuration returns how long a stream of so many events takes at an endpoint of
+// usual speed. It is 0 for a plain call, which can only be compared with others.
 func (p *Placer) ExpectedDuration(q *request.Request, s *catalog.Service, k *registry.Pick, events int) time.Duration {
 	if !q.HasTokenCounts {
 		return 0
@@ -125,22 +124,21 @@
 	return k.NominalFirstToken + time.Duration(events*tokensPerEvent(s))*p.c.Estimator.TokenInterval(q.Service)
 }
 
-// MaxUsualDuration is how long an answer may take at the most that is usual.
+// MaxUsualDuration returns the longest usual duration of an answer.
 func (p *Placer) MaxUsualDuration(q *request.Request) time.Duration {
 	if !q.HasTokenCounts {
 		return q.Route.FirstEventObjective
 	}
-	return q.Route.FirstEventObjective/2 + lastsFactor*time.Duration(q.OutputTokens)*p.c.Estimator.TokenInterval(q.Service)/lastsPart
+	return q.Route.FirstEventObjective/2 + usualFactor*time.Duration(q.OutputTokens)*p.c.Estimator.TokenInterval(q.Service)/usualDivisor
 }
 
-// lateCost is what a late answer loses: nine tenths of the worth of a request,
-// which is taken to grow with the tokens that its organisation pays for. A plain
-// call counts as one.
+// lateCost is the cost of a late answer: nine tenths of the value of a request, which is
+// assumed to grow with the tokens that its organisation pays for. It is 1 for a plain call.
 func lateCost(q *request.Request) float64 {
 	if !q.HasTokenCounts {
 		return 1
 	}
-	return max(worthPerToken*float64(q.PromptTokens+outputFactor*q.OutputTokens), leastWorth)
+	return max(lateCostPerToken*float64(q.PromptTokens+outputFactor*q.OutputTokens), minLateCost)
 }
 
 func tokensPerEvent(s *catalog.Service) int {
@@ -150,9 +148,10 @@
 	return max(s.Engine.TokensPerEvent, 1)
 }
 
-// parts names the shared parts of a prompt: the state of a part depends on all
-// parts before it, so the names are chained.
-func parts(q *request.Request) ([]prefix.Block, []identifier.Tokens) {
+// prefixBlocks returns a block for each shared part of a prompt, and the tokens up to the
+// end of that part. The cached state of a part depends on all parts before it, so each
+// block hashes the ids of all parts so far.
+func prefixBlocks(q *request.Request) ([]prefix.Block, []identifier.Tokens) {
 	if len(q.Parts) < 2 {
 		return nil, nil
 	}
