--- a/internal/serve/handler/handler.go
+++ b/internal/serve/handler/handler.go
@@ -71,7 +71,7 @@
 	Claimer   *claimer.Claimer
 	Streamer  *streamer.Streamer
 	Forwarder *forwarder.Forwarder
-	Carrier   *transferrer.Carrier
+	Carrier   *transferrer.Transferrer
 	Sealer    *sealer.Sealer
 	Recorder  *recorder.Recorder
 	Daemons   Daemons
--- a/internal/serve/transferrer/transferrer.go
+++ b/internal/serve/transferrer/transferrer.go
@@ -1,19 +1,17 @@
-// Package carrier moves the state of interrupted requests between daemons.
+// Package transferrer moves the state of interrupted requests between daemons.
 //
-// # Where state goes
+// A daemon that leaves hands each unfinished answer to two peers, if possible one in
+// its own zone and one in another, as a whole zone is often reclaimed at once. A
+// daemon whose caller disconnects keeps the state itself. The resume token names the
+// holders, so that any daemon can fetch the state.
 //
-// A daemon that leaves hands each unfinished answer to two peers, if it can
-// one in its own zone and one in another: a whole zone is often reclaimed at
-// once. A daemon whose caller's connection breaks keeps the state itself. The
-// resume token names the holders, so that any daemon can fetch it.
+// An answer that waits for a witness may wait longer than any host lives, so it is
+// stored on the platform, see [Transferrer.HoldAnswer].
 //
 // # Usage
 //
-//	holders := c.HandOver(ctx, envelope)
-//	envelope, ok := c.Fetch(ctx, token)
-//
-// An answer that waits for a witness may wait longer than any host lives, so
-// it is held on the platform; see Hold.
+//	holders := t.HandOver(ctx, envelope)
+//	envelope, ok := t.Fetch(ctx, token)
 package transferrer
 
 import (
@@ -27,8 +25,8 @@
 	"time"
 
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/peer/retainer"
 	"brasschute/internal/peer/membertracker"
+	"brasschute/internal/peer/retainer"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/platform/object"
@@ -38,11 +36,11 @@
 )
 
 const (
-	copies      = 2
+	replicas    = 2
 	callTimeout = time.Second
 )
 
-// Config names the carrier's collaborators.
+// Config holds the dependencies of a Transferrer.
 type Config struct {
 	Ledger *membertracker.Tracker
 	Holder *retainer.Retainer
@@ -56,27 +54,28 @@
 type Store interface {
 	Get(ctx context.Context, key string) (object.Object, error)
 	Put(ctx context.Context, key string, ifVersion uint64, value any) (object.Object, error)
-	// Now is the platform's clock.
+	// Now returns the time of the platform.
 	Now() time.Time
 }
 
-// HeldAnswer is an envelope as the platform holds it.
+// HeldAnswer is an envelope as stored on the platform.
 type HeldAnswer struct {
-	// AtUnix is the platform's time, in seconds; old answers are swept by it.
+	// AtUnix is the platform's time of storing, in Unix seconds. Old answers are deleted by
+	// it.
 	AtUnix   int64
 	Envelope []byte
 }
 
-// Carrier is safe for concurrent use.
-type Carrier struct {
+// Transferrer moves the state of interrupted requests. It is safe for concurrent use.
+type Transferrer struct {
 	c Config
 }
 
-// New returns a carrier.
-func New(c Config) *Carrier { return &Carrier{c} }
+// New returns a transferrer.
+func New(c Config) *Transferrer { return &Transferrer{c} }
 
-// SelfAddresses returns this daemon's address as a holder.
-func (c *Carrier) SelfAddresses() []netip.AddrPort {
+// SelfAddresses returns this daemon's address as a list of holders, empty if it has none.
+func (c *Transferrer) SelfAddresses() []netip.AddrPort {
 	a, err := netip.ParseAddrPort(c.c.Ledger.Self().PeerAddress)
 	if err != nil {
 		return nil
@@ -85,22 +84,22 @@
 }
 
 // StoreLocal stores an envelope at this daemon.
-func (c *Carrier) StoreLocal(e *rpc.Envelope) { c.c.Holder.Keep(e) }
+func (c *Transferrer) StoreLocal(e *rpc.Envelope) { c.c.Holder.Keep(e) }
 
-// Drop forgets a request whose answer has been delivered whole.
-func (c *Carrier) Drop(o identifier.Organisation, instance identifier.Request) {
+// Drop deletes the state of a request whose answer was delivered completely.
+func (c *Transferrer) Drop(o identifier.Organisation, instance identifier.Request) {
 	c.c.Holder.Drop(o, instance)
 }
 
-// HoldAnswer stores an answer that waits for its witness: on the platform, since it
-// may have to outlast every host of the system; while the platform cannot take
-// it, at this daemon and at peers, which are returned.
-func (c *Carrier) HoldAnswer(ctx context.Context, e *rpc.Envelope) []netip.AddrPort {
+// HoldAnswer stores an answer that waits for its witness on the platform, since the answer
+// may have to outlive every host of the system. If the platform cannot store it, it is
+// stored at this daemon and at peers, whose addresses are returned.
+func (c *Transferrer) HoldAnswer(ctx context.Context, e *rpc.Envelope) []netip.AddrPort {
 	raw, err := proto.Marshal(e)
 	if err == nil {
 		_, err = c.c.Store.Put(ctx, heldKey(e.Organisation, e.Request), object.Absent, HeldAnswer{AtUnix: c.c.Store.Now().Unix(), Envelope: raw})
 	}
-	// A conflict means that an earlier write with a lost answer stands.
+	// A conflict means that an earlier write, whose answer was lost, took effect.
 	if err == nil || errors.Is(err, object.ErrConflict) {
 		return nil
 	}
@@ -113,8 +112,8 @@
 	return inventory.HeldPrefix + hex.EncodeToString(sum[:])
 }
 
-// held looks for an answer on the platform.
-func (c *Carrier) held(ctx context.Context, t *sealer.Token) *rpc.Envelope {
+// fetchHeld looks for a held answer on the platform.
+func (c *Transferrer) fetchHeld(ctx context.Context, t *sealer.Token) *rpc.Envelope {
 	o, err := c.c.Store.Get(ctx, heldKey(string(t.Organisation), string(t.Instance)))
 	if err != nil {
 		return nil
@@ -127,11 +126,11 @@
 	return e
 }
 
-// HandOver stores an envelope at peers and returns those that have it.
-func (c *Carrier) HandOver(ctx context.Context, e *rpc.Envelope) []netip.AddrPort {
+// HandOver stores an envelope at peers and returns the addresses of those that have it.
+func (c *Transferrer) HandOver(ctx context.Context, e *rpc.Envelope) []netip.AddrPort {
 	var kept []netip.AddrPort
-	for _, m := range c.order() {
-		if len(kept) == copies {
+	for _, m := range c.peersByZone() {
+		if len(kept) == replicas {
 			break
 		}
 		address, err := netip.ParseAddrPort(m.PeerAddress)
@@ -145,16 +144,16 @@
 	return kept
 }
 
-func (c *Carrier) store(ctx context.Context, address string, e *rpc.Envelope) bool {
+func (c *Transferrer) store(ctx context.Context, address string, e *rpc.Envelope) bool {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	reply, err := c.c.Peer(address).Keep(ctx, e)
 	return err == nil && reply.Kept
 }
 
-// order lists living peers: one of the own zone, then one of another, and so
-// on by turns.
-func (c *Carrier) order() []*rpc.Member {
+// peersByZone lists live peers, alternating between other zones and this daemon's zone.
+// Other zones come first.
+func (c *Transferrer) peersByZone() []*rpc.Member {
 	zone := c.c.Ledger.Self().AvailabilityZone
 	var near, far []*rpc.Member
 	for _, m := range c.c.Ledger.Alive() {
@@ -179,8 +178,9 @@
 	return out
 }
 
-// Fetch looks for a token's envelope, here first and then at its holders.
-func (c *Carrier) Fetch(ctx context.Context, t *sealer.Token) (*rpc.Envelope, bool) {
+// Fetch looks for the envelope of a token at this daemon, then at the token's holders, and
+// last on the platform.
+func (c *Transferrer) Fetch(ctx context.Context, t *sealer.Token) (*rpc.Envelope, bool) {
 	if e, ok := c.c.Holder.Fetch(t.Organisation, t.Instance); ok {
 		return e, true
 	}
@@ -193,11 +193,11 @@
 			return e, true
 		}
 	}
-	e := c.held(ctx, t)
+	e := c.fetchHeld(ctx, t)
 	return e, e != nil
 }
 
-func (c *Carrier) fetch(ctx context.Context, address string, t *sealer.Token) *rpc.Envelope {
+func (c *Transferrer) fetch(ctx context.Context, address string, t *sealer.Token) *rpc.Envelope {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	e, err := c.c.Peer(address).Fetch(ctx, &rpc.FetchRequest{Request: string(t.Instance), Organisation: string(t.Organisation)})
