--- a/internal/serve/call/call.go
+++ b/internal/serve/call/call.go
@@ -1,15 +1,13 @@
-// Package call holds one caller's request, parsed and checked.
+// Package call defines the parsed and checked request of a caller.
 //
-// # Two names
-//
-// Request is the id that callers, logs and explanations use; a caller may
-// choose it, and may use it twice. Instance is unique: everything that must
-// not be confused, such as streams at engines and kept state, goes by it.
+// A call has two ids. Request is the id that callers, logs and explanations use; a
+// caller may choose it and may use it twice. Instance is unique. It identifies
+// whatever must not be confused, such as streams at engines and stored state.
 //
 // # Usage
 //
-// Package parser makes a [Call]; the serving packages read it and set only
-// what the rules decide.
+// Package parser creates a [Call]. The other packages read it and set only what the
+// rules decide.
 package call
 
 import (
@@ -22,65 +20,64 @@
 	"brasschute/internal/engine/prefix"
 )
 
-// Call is one request.
+// Call is a request of a caller.
 type Call struct {
 	Request  identifier.Request
 	Instance identifier.Request
-	// Traceparent is passed through unchanged.
+	// Traceparent is passed on unchanged.
 	Traceparent string
 	Received    time.Time
 
-	// Plan is the configuration that decides this request, from its first
-	// decision to its last; Number is its number.
-	Plan         *compiler.Plan
-	ConfigurationNumber       identifier.ConfigurationNumber
-	Organisation *document.Organisation
-	Service      *document.Service
+	// Plan is the configuration that decides this request from its first decision to its
+	// last, ConfigurationNumber its number.
+	Plan                *compiler.Plan
+	ConfigurationNumber identifier.ConfigurationNumber
+	Organisation        *document.Organisation
+	Service             *document.Service
 
-	// Body is what goes to the endpoint.
+	// Body is what is sent to the endpoint.
 	Body []byte
-	// Digest is the hash of the body and target as received.
+	// Digest is the hash of the target and body as received.
 	Digest string
-	// Header, Method and Path are for plain services.
+	// Header, Method and Path are set for plain services.
 	Header http.Header
 	Method string
 	Path   string
 
-	// Streaming asks for SSE, Completions for the shape of /v1/completions.
+	// Streaming is set if the caller wants SSE, Completions if it used /v1/completions.
 	Streaming   bool
 	Completions bool
 	Prompt      string
 	Blocks      []prefix.Block
-	// Conversation is a hash that the turns of one conversation share, 0 if
-	// not known.
+	// Conversation is a hash that is equal for all turns of a conversation, 0 if not known.
 	Conversation uint64
-	// PriorTokens are the prompt tokens that an earlier turn of the conversation has
-	// sent already.
+	// PriorTokens is the number of prompt tokens that an earlier turn of the conversation
+	// already sent.
 	PriorTokens identifier.Tokens
-	// PromptTokens is estimated; MaxTokens is what the caller asked for.
+	// PromptTokens is an estimate. MaxTokens is what the caller asked for.
 	PromptTokens identifier.Tokens
 	MaxTokens    identifier.Tokens
 
-	// IdempotencyKey is the Idempotency-IdempotencyKey, empty if none.
-	IdempotencyKey           string
-	NonIdempotent bool
+	// IdempotencyKey is the Idempotency-Key, empty if none.
+	IdempotencyKey string
+	NonIdempotent  bool
 	// Timeout bounds the call.
 	Timeout time.Duration
-	// LastEventID is the resume token of a caller that comes back.
+	// LastEventID is the resume token of a caller that resumes a stream.
 	LastEventID string
 
-	// Rule is the index of the rule that matched; Pool, Priority and Zones
-	// are the results of service and rule.
+	// Rule is the index of the rule that matched. Pool, Priority and Zones result from
+	// service and rule.
 	Rule     int
 	Pool     *document.Pool
 	Priority string
 	Zones    []identifier.AvailabilityZone
-	// HoldFor names the service that must acknowledge the answer before it is
-	// released; empty for none.
+	// HoldFor names the service that must acknowledge the answer before it is released, empty
+	// for none.
 	HoldFor identifier.Service
 }
 
-// Fingerprint is the same for all arrivals of what one organisation asks for.
+// Fingerprint is equal for all calls of one organisation with the same digest.
 func (c *Call) Fingerprint() identifier.Fingerprint {
 	organisation := identifier.Organisation("")
 	if c.Organisation != nil {
--- a/internal/serve/request/request.go
+++ b/internal/serve/request/request.go
@@ -1,9 +1,10 @@
-// Package request holds one client's request in the terms of the decisions.
+// Package request defines a client's request, and the reply of an endpoint, as the
+// ingress uses them, independent of a platform's headers.
 //
 // # Usage
 //
-// An adapter fills the fields that the client sent; the gateway adds the route,
-// the organisation and the service; from then on a [Request] is only read.
+// An adapter fills the fields that the client sent. The gateway adds the route, the
+// organisation and the service. After that a [Request] is only read.
 package request
 
 import (
@@ -17,55 +18,54 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Part is one piece of a prompt. Requests that begin with the same parts can
-// share an engine's cached state of them.
+// Part is a piece of a prompt. Requests whose prompts start with the same parts can share
+// an engine's cached state of these parts.
 type Part struct {
 	ID     string
 	Tokens identifier.Tokens
 }
 
-// Request is one client attempt.
+// Request is one attempt of a client.
 type Request struct {
 	ID       identifier.Request
 	Received time.Time
-	// ClientTimeout is how long the client waits, as it said; 0 if it did not.
+	// ClientTimeout is how long the client waits, as it stated; 0 if it did not.
 	ClientTimeout time.Duration
 
-	ConfigurationNumber       identifier.ConfigurationNumber
-	Route        *catalog.Route
-	Organisation *catalog.Organisation
-	Service      identifier.Service
+	ConfigurationNumber identifier.ConfigurationNumber
+	Route               *catalog.Route
+	Organisation        *catalog.Organisation
+	Service             identifier.Service
 
 	Method string
 	// Target is the request target as received: path and query.
 	Target string
 	Path   string
 	Host   string
-	APIKey    string
-	// Header holds what is passed on unchanged.
+	APIKey string
+	// Header holds the headers that are passed on unchanged.
 	Header http.Header
 	Body   []byte
 
-	// Parts, PromptTokens and OutputTokens describe a model request. The last
-	// part belongs to this request or its session alone.
+	// Parts, PromptTokens and OutputTokens describe a model request. The last part is not
+	// shared with other requests or sessions.
 	Parts        []Part
 	PromptTokens identifier.Tokens
 	OutputTokens identifier.Tokens
-	// HasTokenCounts: the client stated its tokens.
+	// HasTokenCounts is set if the client stated its token counts.
 	HasTokenCounts bool
-	// LastEventNumber is the number of the last event that the client has; 0 for
-	// none.
+	// LastEventNumber is the number of the last event that the client has, 0 for none.
 	LastEventNumber int
 
 	fingerprint identifier.Fingerprint
 }
 
-// fingerprintSize is the part of a SHA-256 that a fingerprint keeps: nobody can find a
-// request whose fingerprint is that of another one.
-const fingerprintSize = 16
+// fingerprintBytes is the length to which the SHA-256 is truncated. 16 bytes are enough
+// that no one can find a second request with a given fingerprint.
+const fingerprintBytes = 16
 
-// Fingerprint tells whether two requests ask for the same: same organisation, method, host,
-// target and body. It is not safe for concurrent use.
+// Fingerprint identifies what a request asks for: it is equal for requests with the same
+// organisation, method, host, target and body. It is not safe for concurrent use.
 func (r *Request) Fingerprint() identifier.Fingerprint {
 	if r.fingerprint != "" {
 		return r.fingerprint
@@ -76,31 +76,32 @@
 	}
 	h := sha256.New()
 	for _, field := range [][]byte{[]byte(organisation), []byte(r.Method), []byte(r.Host), []byte(r.Target), r.Body} {
-		// The length keeps the end of one field from counting as the start of the next.
+		// The length prefix keeps the end of one field apart from the start of the next.
 		h.Write(binary.BigEndian.AppendUint64(nil, uint64(len(field))))
 		h.Write(field)
 	}
-	r.fingerprint = identifier.Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintSize]))
+	r.fingerprint = identifier.Fingerprint(hex.EncodeToString(h.Sum(nil)[:fingerprintBytes]))
 	return r.fingerprint
 }
 
-// Deadline is when nobody waits for the answer any more.
+// Deadline is when the request times out: the shorter one of the timeouts of client and
+// route after its arrival.
 func (r *Request) Deadline() time.Time {
 	limit := r.ClientTimeout
 	if r.Route != nil && r.Route.Timeout > 0 && (limit == 0 || r.Route.Timeout < limit) {
 		limit = r.Route.Timeout
 	}
 	if limit == 0 {
-		limit = noLimit
+		limit = defaultTimeout
 	}
 	return r.Received.Add(limit)
 }
 
-// noLimit bounds a request of which neither client nor route says how long it
-// may take: without it a hung endpoint would keep it for ever.
-const noLimit = time.Minute
+// defaultTimeout bounds a request for which neither client nor route states a timeout.
+// Without it a hung endpoint would keep the request for ever.
+const defaultTimeout = time.Minute
 
-// Rank is the priority that decides; 0 is the most urgent.
+// Rank returns the priority of the request, 0 being the most urgent.
 func (r *Request) Rank() int {
 	if r.Organisation != nil && r.Organisation.Rank != nil {
 		return *r.Organisation.Rank
@@ -108,7 +109,8 @@
 	return r.Route.Rank
 }
 
-// Charge is what the request counts against its organisation's quota.
+// Charge returns what the request counts against its organisation's quota: 1, or its
+// tokens for a quota in tokens. It is 0 without an organisation.
 func (r *Request) Charge() float64 {
 	switch {
 	case r.Organisation == nil:
@@ -121,37 +123,36 @@
 	return float64(r.PromptTokens + r.OutputTokens)
 }
 
-// Reply is what an endpoint's status and headers say.
+// Reply holds what an endpoint's status and headers state.
 type Reply struct {
-	// ID is the request that the answer belongs to.
+	// ID is the request that the reply belongs to.
 	ID     identifier.Request
 	Status int
-	// Signed: the answer bears the endpoint's signature.
+	// Signed is set if the reply carries the endpoint's signature.
 	Signed bool
-	// NotRun: the endpoint states that the request did not run there.
-	// Misdirected: another endpoint has the address by now.
+	// NotRun is set if the endpoint states that the request did not run there, Misdirected
+	// if another endpoint now has the address.
 	NotRun      bool
 	Misdirected bool
-	// Encoded: the body is encoded in a way that nobody asked for.
+	// Encoded is set if the body has a content encoding that was not asked for.
 	Encoded bool
-	// ConnectionClosing: the connection, and perhaps the endpoint, is about to end.
+	// ConnectionClosing is set if the connection, and perhaps the endpoint, is about to end.
 	ConnectionClosing bool
-	// EndpointLeaving: the endpoint says that it leaves.
+	// EndpointLeaving is set if the endpoint states that it is leaving.
 	EndpointLeaving bool
-	// KeepAlive is how long the connection may stay idle; 0 if not said.
+	// KeepAlive is how long the connection may stay idle; 0 if not stated.
 	KeepAlive time.Duration
-	// HasLoad: Running and Waiting are the endpoint's counts of requests.
-	HasLoad    bool
+	// HasLoad is set if Running and Waiting hold the endpoint's counts of requests.
+	HasLoad bool
 	Running int
 	Waiting int
-	// Limit is how many requests a second the endpoint says that it takes.
+	// Limit is the limit on requests a second that the endpoint states.
 	Limit Limit
 }
 
-// Limit is what an answer says of the requests a second that its endpoint takes from all
-// daemons together.
+// Limit is the number of requests a second that an endpoint accepts from all daemons together.
 type Limit struct {
 	PerSecond float64
-	// Present: the answer names a limit. Invalid: it names something that is none.
+	// Present is set if the reply states a limit, Invalid if the limit cannot be parsed.
 	Present, Invalid bool
 }
