--- a/internal/serve/parser/parser.go
+++ b/internal/serve/parser/parser.go
@@ -1,11 +1,9 @@
 // Package parser turns a caller's HTTP request into a checked call.
 //
-// # Order of checks
-//
-// The cheap checks come first: who calls, which headers stand twice, how long
-// the body claims to be. Only then is the body read, within a limit of bytes
-// and of time, so that an unknown or slow sender costs next to nothing. All
-// problems found here mean that nothing was sent to any endpoint.
+// The cheap checks come first: the key, repeated headers, and the stated length of the
+// body. Only then is the body read, within a limit of bytes and of time, so that an
+// unknown or slow sender costs next to nothing. A problem found here means that nothing
+// was sent to any endpoint.
 //
 // # Usage
 //
@@ -38,7 +36,7 @@
 	"github.com/google/uuid"
 )
 
-// The paths of callers.
+// The paths for callers.
 const (
 	ChatPath        = "/v1/chat/completions"
 	CompletionsPath = "/v1/completions"
@@ -48,25 +46,25 @@
 const (
 	defaultMaxTokens = 16
 	maxTokens        = 1 << 17
-	maxKey           = 255
+	maxKeyBytes      = 255
 	instanceBytes    = 5
 	digestBytes      = 16
-	// discarded is how many times the allowed size is read away.
-	discarded = 4
-	bearer    = "Bearer "
-	assistant = "assistant"
-	user      = "user"
+	// discardFactor times the allowed size is read and discarded of a body that is too large.
+	discardFactor = 4
+	bearer        = "Bearer "
+	roleAssistant = "assistant"
+	roleUser      = "user"
 )
 
-// Config bounds what is read.
+// Config holds the limits of a Parser.
 type Config struct {
-	// MaxBody is in bytes.
+	// MaxBody is the largest body, in bytes.
 	MaxBody int64
 	// BodyTimeout bounds the time until the whole body has arrived.
 	BodyTimeout time.Duration
 }
 
-// Parser parses requests. It has no state.
+// Parser parses requests. It has no state and is safe for concurrent use.
 type Parser struct {
 	c Config
 }
@@ -74,32 +72,33 @@
 // New returns a parser.
 func New(c Config) *Parser { return &Parser{c} }
 
-// single lists the headers that must not stand twice: with two values, two
-// processes may each act on another one.
-var single = []string{
+// singleValued lists the headers that must not be repeated: given two values, two
+// processes might each use a different one.
+var singleValued = []string{
 	"Authorization", "Content-Type", "Idempotency-Key", "Request-Id", "Request-Timeout", "Traceparent", "Last-Event-Id",
 }
 
-var identifierForm = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var requestIDPattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// RequestID returns the id of a request, from its header or new. It never
-// fails, so that refusals can name it too.
+// RequestID returns the id of a request, from its header or else a new one. It never fails,
+// so that every refusal has an id.
 func RequestID(r *http.Request) identifier.Request {
 	id := r.Header.Get("Request-Id")
-	if identifierForm.MatchString(id) {
+	if requestIDPattern.MatchString(id) {
 		return identifier.Request(id)
 	}
 	return identifier.Request(uuid.NewString())
 }
 
-// Parse reads and checks one request.
+// Parse reads and checks one request. The returned call is never nil and has an id even if
+// there is a problem.
 func (p *Parser) Parse(w http.ResponseWriter, r *http.Request, plan *compiler.Plan, number identifier.ConfigurationNumber) (*call.Call, *refusal.Problem) {
 	c := &call.Call{
 		Request: RequestID(r), Received: time.Now(), Plan: plan, ConfigurationNumber: number, Rule: compiler.NoRule,
 		Traceparent: r.Header.Get("Traceparent"), LastEventID: r.Header.Get("Last-Event-ID"),
 	}
-	c.Instance = c.Request + "~" + random()
-	if problem := headers(r); problem != nil {
+	c.Instance = c.Request + "~" + randomSuffix()
+	if problem := checkHeaders(r); problem != nil {
 		return c, problem
 	}
 	o, problem := Authenticate(r, plan)
@@ -109,33 +108,33 @@
 	c.Organisation = o
 	c.Priority = o.Priority
 	if strings.HasPrefix(r.URL.Path, ServicesPrefix) {
-		return c, p.plain(w, r, c)
+		return c, p.parsePlain(w, r, c)
 	}
-	return c, p.model(w, r, c)
+	return c, p.parseModel(w, r, c)
 }
 
-func random() identifier.Request {
+func randomSuffix() identifier.Request {
 	b := make([]byte, instanceBytes)
 	_, _ = rand.Read(b)
 	return identifier.Request(hex.EncodeToString(b))
 }
 
-func headers(r *http.Request) *refusal.Problem {
-	for _, name := range single {
+func checkHeaders(r *http.Request) *refusal.Problem {
+	for _, name := range singleValued {
 		if len(r.Header.Values(name)) > 1 {
 			return refusal.New(refusal.BadRequest, "header "+name+" stands more than once; allowed: once")
 		}
 	}
-	if id := r.Header.Get("Request-Id"); id != "" && !identifierForm.MatchString(id) {
+	if id := r.Header.Get("Request-Id"); id != "" && !requestIDPattern.MatchString(id) {
 		return refusal.New(refusal.BadRequest, "Request-Id: allowed are 1 to 64 letters, digits, '.', '_' and '-'")
 	}
-	if len(r.Header.Get("Idempotency-Key")) > maxKey {
-		return refusal.New(refusal.BadRequest, fmt.Sprintf("Idempotency-Key: allowed are %d bytes", maxKey))
+	if len(r.Header.Get("Idempotency-Key")) > maxKeyBytes {
+		return refusal.New(refusal.BadRequest, fmt.Sprintf("Idempotency-Key: allowed are %d bytes", maxKeyBytes))
 	}
 	return nil
 }
 
-// Authenticate finds the organisation of a request's bearer key.
+// Authenticate returns the organisation of a request's bearer key.
 func Authenticate(r *http.Request, plan *compiler.Plan) (*document.Organisation, *refusal.Problem) {
 	key, ok := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
 	if !ok || key == "" {
@@ -149,9 +148,9 @@
 	return o, nil
 }
 
-func (p *Parser) plain(w http.ResponseWriter, r *http.Request, c *call.Call) *refusal.Problem {
+func (p *Parser) parsePlain(w http.ResponseWriter, r *http.Request, c *call.Call) *refusal.Problem {
 	name, rest, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, ServicesPrefix), "/")
-	if problem := service(c, identifier.Service(name), document.KindPlain); problem != nil {
+	if problem := resolveService(c, identifier.Service(name), document.KindPlain); problem != nil {
 		return problem
 	}
 	c.Method = r.Method
@@ -160,15 +159,16 @@
 		c.Path += "?" + r.URL.RawQuery
 	}
 	c.Header = r.Header
-	body, problem := p.body(w, r)
+	body, problem := p.readBody(w, r)
 	if problem != nil {
 		return problem
 	}
 	c.Body = body
-	return finish(r, c)
+	return applyOptions(r, c)
 }
 
-// input is what the system itself needs of a model request.
+// input is the part of a model request that the daemon itself uses. The name of the type
+// is in the error that a caller gets for a member of the wrong type.
 type input struct {
 	Model     string          `json:"model"`
 	Messages  []message       `json:"messages"`
@@ -203,12 +203,12 @@
 	return s, nil
 }
 
-func (p *Parser) model(w http.ResponseWriter, r *http.Request, c *call.Call) *refusal.Problem {
+func (p *Parser) parseModel(w http.ResponseWriter, r *http.Request, c *call.Call) *refusal.Problem {
 	if r.Method != http.MethodPost {
 		return refusal.New(refusal.MethodRefused, "allowed: POST")
 	}
 	c.Completions = r.URL.Path == CompletionsPath
-	body, problem := p.body(w, r)
+	body, problem := p.readBody(w, r)
 	if problem != nil {
 		return problem
 	}
@@ -216,18 +216,18 @@
 	if err := json.Unmarshal(body, &in); err != nil {
 		return refusal.New(refusal.BadRequest, "body: "+err.Error())
 	}
-	if problem := service(c, identifier.Service(in.Model), document.KindModel); problem != nil {
+	if problem := resolveService(c, identifier.Service(in.Model), document.KindModel); problem != nil {
 		return problem
 	}
-	if err := take(c, &in); err != nil {
+	if err := applyInput(c, &in); err != nil {
 		return refusal.New(refusal.BadRequest, err.Error())
 	}
 	c.Body = body
-	return finish(r, c)
+	return applyOptions(r, c)
 }
 
-// take copies the checked input into the call.
-func take(c *call.Call, in *input) error {
+// applyInput checks the input and sets the fields of the call.
+func applyInput(c *call.Call, in *input) error {
 	c.Streaming = in.Stream
 	c.Prompt = in.Prompt
 	if c.Completions == (in.Prompt == "") {
@@ -244,12 +244,12 @@
 		if err != nil {
 			return err
 		}
-		if in.Messages[i].Role == assistant {
-			// The engine answered what stands before: it has read that.
+		if in.Messages[i].Role == roleAssistant {
+			// An engine answered the text before this message, so it has processed that.
 			c.PriorTokens = prefix.Tokens(len(c.Prompt))
 		}
-		if c.Conversation == 0 && in.Messages[i].Role == user {
-			// What stands before the first question is a preamble that many
+		if c.Conversation == 0 && in.Messages[i].Role == roleUser {
+			// The text before the first question is a preamble that many
 			// conversations share.
 			c.Conversation = xxhash.Sum64String(string(c.Organisation.Name) + text)
 		}
@@ -257,10 +257,10 @@
 	}
 	c.PromptTokens = prefix.Tokens(len(c.Prompt))
 	c.Blocks = prefix.Blocks(nil, c.Prompt)
-	return takeMaxTokens(c, in.MaxTokens)
+	return applyMaxTokens(c, in.MaxTokens)
 }
 
-func takeMaxTokens(c *call.Call, raw json.RawMessage) error {
+func applyMaxTokens(c *call.Call, raw json.RawMessage) error {
 	c.MaxTokens = defaultMaxTokens
 	if len(raw) == 0 || string(raw) == "null" {
 		return nil
@@ -273,7 +273,7 @@
 	return nil
 }
 
-func service(c *call.Call, name identifier.Service, kind document.Kind) *refusal.Problem {
+func resolveService(c *call.Call, name identifier.Service, kind document.Kind) *refusal.Problem {
 	s, ok := c.Plan.Service(name)
 	if !ok || s.Kind != kind {
 		return refusal.New(refusal.UnknownService, fmt.Sprintf("there is no %s service %q", kind, name))
@@ -282,17 +282,17 @@
 	return nil
 }
 
-func (p *Parser) body(w http.ResponseWriter, r *http.Request) ([]byte, *refusal.Problem) {
+func (p *Parser) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *refusal.Problem) {
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(p.c.BodyTimeout))
 	if r.ContentLength > p.c.MaxBody {
-		return nil, p.tooLarge(w, r)
+		return nil, p.refuseTooLarge(w, r)
 	}
 	body, err := io.ReadAll(io.LimitReader(r.Body, p.c.MaxBody+1))
 	var timeout net.Error
 	switch {
 	case int64(len(body)) > p.c.MaxBody:
-		return nil, p.tooLarge(w, r)
+		return nil, p.refuseTooLarge(w, r)
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return nil, refusal.New(refusal.TooSlow, fmt.Sprintf("the body did not arrive within %s", p.c.BodyTimeout))
 	case err != nil:
@@ -302,18 +302,18 @@
 	return body, nil
 }
 
-// tooLarge refuses a body. The rest of it is read away first, within bounds:
-// a connection that is closed on data still arriving is reset, and the sender
-// would see the reset instead of the refusal.
-func (p *Parser) tooLarge(w http.ResponseWriter, r *http.Request) *refusal.Problem {
-	_, _ = io.CopyN(io.Discard, r.Body, discarded*p.c.MaxBody)
+// refuseTooLarge refuses a body. It first discards the rest of the body, within bounds:
+// closing a connection on which data still arrives resets it, and the sender would see
+// the reset instead of the refusal.
+func (p *Parser) refuseTooLarge(w http.ResponseWriter, r *http.Request) *refusal.Problem {
+	_, _ = io.CopyN(io.Discard, r.Body, discardFactor*p.c.MaxBody)
 	w.Header().Set("Connection", "close")
 	return refusal.New(refusal.TooLarge, fmt.Sprintf("the body is too large; allowed: %d bytes", p.c.MaxBody))
 }
 
-// finish sets what depends on caller and service together. Of their words on
-// idempotence the stricter wins.
-func finish(r *http.Request, c *call.Call) *refusal.Problem {
+// applyOptions sets the fields that depend on caller and service together. If they differ on
+// idempotence, the stricter one wins.
+func applyOptions(r *http.Request, c *call.Call) *refusal.Problem {
 	c.IdempotencyKey = r.Header.Get("Idempotency-Key")
 	safe := r.Method == http.MethodGet || r.Method == http.MethodHead
 	c.NonIdempotent = c.IdempotencyKey != "" || !c.Service.Idempotent && !safe && c.Service.Kind == document.KindPlain
@@ -335,8 +335,7 @@
 	return nil
 }
 
-// SavedRequest is the state of an interrupted model request, as another daemon knew
-// it.
+// SavedRequest is the state of an interrupted model request, as another daemon stored it.
 type SavedRequest struct {
 	Request      identifier.Request
 	Instance     identifier.Request
@@ -345,7 +344,7 @@
 	Completions  bool
 }
 
-// Restore parses a kept model request again, for whoever carries it on.
+// Restore parses a saved model request again, for the daemon that continues it.
 func (p *Parser) Restore(k *SavedRequest, plan *compiler.Plan, number identifier.ConfigurationNumber) (*call.Call, *refusal.Problem) {
 	c := &call.Call{
 		Request: k.Request, Instance: k.Instance, Received: time.Now(), Plan: plan, ConfigurationNumber: number,
@@ -355,10 +354,10 @@
 	if err := json.Unmarshal(k.Body, &in); err != nil {
 		return c, refusal.New(refusal.BadRequest, "body: "+err.Error())
 	}
-	if problem := service(c, identifier.Service(in.Model), document.KindModel); problem != nil {
+	if problem := resolveService(c, identifier.Service(in.Model), document.KindModel); problem != nil {
 		return c, problem
 	}
-	if err := take(c, &in); err != nil {
+	if err := applyInput(c, &in); err != nil {
 		return c, refusal.New(refusal.BadRequest, err.Error())
 	}
 	c.Timeout = c.Service.Timeout.Std()
