--- a/internal/serve/recorder/recorder.go
+++ b/internal/serve/recorder/recorder.go
@@ -1,12 +1,9 @@
-// Package recorder keeps why each request was decided as it was.
+// Package recorder keeps records that explain how recent requests were decided.
 //
-// # What is recorded
-//
-// A [Record] is plain data: who asked, which configuration and rule decided,
-// how long the request waited, each attempt with the alternatives that were
-// weighed, and how it ended. Refused requests have one too. The newest
-// records stay in memory; they explain recent decisions and are no audit
-// trail.
+// A [Record] is plain data: the caller, the configuration and rule that decided, the
+// time in the queue, each attempt with the alternatives that were weighed, and the
+// outcome. Refused requests have a record too. Only the newest records are kept, in
+// memory; they are no audit trail.
 //
 // # Usage
 //
@@ -24,13 +21,13 @@
 
 const defaultSize = 4096
 
-// Config bounds the memory.
+// Config holds the size of a Recorder.
 type Config struct {
-	// Size is the number of records kept; 4,096 if zero.
+	// Size is the number of records that are kept; 4,096 if zero.
 	Size int
 }
 
-// Alternative is one endpoint that was weighed.
+// Alternative is an endpoint that was considered for an attempt.
 type Alternative struct {
 	Endpoint     identifier.Endpoint
 	FirstTokenMS float64
@@ -39,22 +36,22 @@
 	InTarget     bool
 }
 
-// Attempt is one try at one endpoint.
+// Attempt is one attempt at one endpoint.
 type Attempt struct {
 	Endpoint identifier.Endpoint
-	// Why says how the endpoint came to be chosen.
+	// Why says how the endpoint was chosen.
 	Why          string
 	Chosen       Alternative
 	Alternatives []Alternative
 	// Excluded says how many endpoints could not serve, by reason.
 	Excluded string
-	// Resumed is the number of tokens the caller already had.
+	// Resumed is the number of tokens that the caller already had.
 	Resumed int
 	State   string
 	Outcome string
 }
 
-// Record explains one request.
+// Record explains how one request was decided.
 type Record struct {
 	Request       identifier.Request
 	Instance      identifier.Request
@@ -68,13 +65,13 @@
 	Priority      string
 	Pool          identifier.Pool
 	NonIdempotent bool
-	// Claim tells how the idempotency key was decided, empty without one.
+	// Claim is the result of claiming the idempotency key, empty without a key.
 	Claim    string
 	WaitedMS float64
-	// Witness tells how the witness answered, empty if none was needed.
+	// Witness is the result of asking the witness, empty if none was needed.
 	Witness  string
 	Attempts []Attempt
-	// Outcome is "answered" or the refusal.
+	// Outcome is "answered" or the error.
 	Outcome          string
 	FirstTokenMS     float64
 	TookMS           float64
@@ -99,7 +96,7 @@
 	return &Recorder{ring: make([]*Record, c.Size), byID: make(map[identifier.Request]*Record)}
 }
 
-// Add keeps a finished record, which must not be changed any more.
+// Add keeps a finished record, which must not be modified afterwards.
 func (r *Recorder) Add(rec *Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +108,7 @@
 	r.byID[rec.Request] = rec
 }
 
-// Find returns the newest record of a request id.
+// Find returns the newest record with a request id.
 func (r *Recorder) Find(id identifier.Request) (*Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/serve/refusal/refusal.go
+++ b/internal/serve/refusal/refusal.go
@@ -1,18 +1,16 @@
-// Package refusal tells callers why a request was not answered.
+// Package refusal builds the error responses for callers.
 //
-// # Three outcomes
-//
-// Every refusal states one of three things, and states it truthfully: the
-// request did not run, it ran, or the outcome is unknown. "Not run" is said
-// only if no attempt can have reached an endpoint, or if the endpoint
-// explicitly said so. A caller may safely repeat a request that was not run.
+// Every refusal truthfully states one of three outcomes: the request did not run, it
+// ran, or the outcome is unknown. "Not run" is stated only if no attempt can have
+// reached an endpoint, or if the endpoint explicitly said so. A caller may safely
+// repeat a request that did not run.
 //
 // # Usage
 //
-//	refusal.New(refusal.OverLimit, "queue full").After(wait).Write(w, id)
+//	refusal.New(refusal.OverLimit, "queue full").WithRetryAfter(wait).Write(w, id)
 //
-// The body is application/problem+json as in RFC 9457, with the outcome as
-// extension member; the type is stable and safe to compare.
+// The body is application/problem+json as in RFC 9457, with the outcome as an
+// extension member. The type is stable and safe to compare.
 package refusal
 
 import (
@@ -26,7 +24,7 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Outcome is what became of the request.
+// Outcome states whether the request ran.
 type Outcome string
 
 // The outcomes.
@@ -36,7 +34,7 @@
 	Unknown Outcome = "unknown"
 )
 
-// Kind is a class of problem: the last part of its type.
+// Kind is a class of problems. It is the last part of the type of a problem.
 type Kind string
 
 // The kinds of problem.
@@ -79,7 +77,7 @@
 	Quarantined: http.StatusServiceUnavailable,
 }
 
-// Problem is one refusal. It is an error.
+// Problem is a refusal. It is an error.
 type Problem struct {
 	Type    string             `json:"type"`
 	Title   string             `json:"title"`
@@ -87,8 +85,8 @@
 	Detail  string             `json:"detail"`
 	Outcome Outcome            `json:"outcome"`
 	Request identifier.Request `json:"request,omitempty"`
-	// RetrySeconds repeats the Retry-After header for streams, whose headers
-	// are gone.
+	// RetrySeconds repeats the Retry-After header in seconds, for streams, whose headers were
+	// already sent.
 	RetrySeconds int `json:"retryAfterSeconds,omitempty"`
 
 	kind Kind
@@ -110,7 +108,7 @@
 	return p
 }
 
-// WithRetryAfter tells when to come back, rounded up to seconds.
+// WithRetryAfter sets when to retry, rounded up to seconds and at least 1 s.
 func (p *Problem) WithRetryAfter(d time.Duration) *Problem {
 	p.RetrySeconds = int(math.Ceil(max(d, time.Second).Seconds()))
 	return p
@@ -124,7 +122,7 @@
 	return fmt.Sprintf("%s: %s (%s)", p.kind, p.Detail, p.Outcome)
 }
 
-// Write sends the refusal as a whole response.
+// Write sends the refusal as a complete response.
 func (p *Problem) Write(w http.ResponseWriter, id identifier.Request) {
 	p.Request = id
 	w.Header().Set("Content-Type", "application/problem+json")
--- a/internal/serve/sealer/sealer.go
+++ b/internal/serve/sealer/sealer.go
@@ -1,13 +1,10 @@
-// Package sealer makes and opens resume tokens.
+// Package sealer creates and opens resume tokens.
 //
-// # What a token is
-//
-// Each event of a stream has an id, and a caller whose connection broke sends
-// the last one back as Last-Event-ID, to any daemon. No daemon stores
-// anything for this: the token itself says which stream it is, where it runs,
-// how many tokens the caller has, and which peers may hold the state. It is
-// signed, bound to the organisation and short-lived, so that a forged, old or
-// stolen one opens nothing.
+// Each event of a stream has an id. A caller whose connection broke sends the last id
+// back as Last-Event-ID, to any daemon. No daemon stores anything for this: the token
+// itself states which stream it belongs to, where the stream runs, how many tokens
+// the caller has, and which peers may hold the state. It is signed, bound to the
+// organisation and short-lived, so that a forged, expired or stolen token is refused.
 //
 // # Usage
 //
@@ -30,8 +27,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrRefused is returned for every token that is not valid here; it does not
-// say why, as a forger should not learn it.
+// ErrRefused is returned for every invalid token. It does not say why, as that would help
+// a forger.
 var ErrRefused = errors.New("resume token refused")
 
 const (
@@ -44,32 +41,31 @@
 // Config holds the key, which all daemons of a system share.
 type Config struct {
 	Key []byte
-	// Lifetime is how long a token opens; 10 min if zero.
+	// Lifetime is how long a token is valid; 10 min if zero.
 	Lifetime time.Duration
 }
 
 // Token is the content of a resume token.
 type Token struct {
 	Organisation identifier.Organisation
-	// Instance is the unique name of the request, Stream that of its stream
-	// at the engine.
+	// Instance is the unique id of the request, Stream the id of its stream at the engine.
 	Instance identifier.Request
 	Stream   string
 	Endpoint identifier.Endpoint
-	// Offset is the number of tokens the caller has received.
+	// Offset is the number of tokens that the caller has received.
 	Offset int
-	// Holders are the peers that may hold the request's state.
+	// Holders are the peers that may hold the state of the request.
 	Holders []netip.AddrPort
 }
 
-// Sealer makes and opens tokens. It has no state.
+// Sealer creates and opens tokens. It has no state and is safe for concurrent use.
 type Sealer struct {
 	key      []byte
 	lifetime time.Duration
 }
 
-// New returns a sealer whose key is derived from the given one, so that a
-// token can never pass as a signature made for another purpose.
+// New returns a sealer. Its key is derived from the given one, so that a token can never
+// pass as a signature made for another purpose.
 func New(c Config) *Sealer {
 	if c.Lifetime == 0 {
 		c.Lifetime = defaultLifetime
@@ -79,7 +75,7 @@
 	return &Sealer{key: h.Sum(nil), lifetime: c.Lifetime}
 }
 
-// Seal returns the token as text for an event id.
+// Seal returns the token as text for an event id. It keeps the first three holders.
 func (s *Sealer) Seal(t *Token) string {
 	b := []byte{formatVersion}
 	b = binary.BigEndian.AppendUint32(b, uint32(time.Now().Add(s.lifetime).Unix()))
@@ -134,7 +130,7 @@
 	return t, nil
 }
 
-// reader takes fields off the front; failed is set when one is missing.
+// reader reads fields from the front of b. failed is set if a field is missing.
 type reader struct {
 	b      []byte
 	failed bool
--- a/internal/serve/sealer/sealer_test.go
+++ b/internal/serve/sealer/sealer_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestOpenExpired(t *testing.T) {
-	// A token that was stolen, or kept for too long, opens nothing.
+	// Guards against a token that is still accepted after its lifetime, as after a theft.
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Config{Key: []byte("key")})
 		text := s.Seal(token())
@@ -59,7 +59,8 @@
 }
 
 func TestOpenForged(t *testing.T) {
-	// No change of any character opens, and nothing makes Open fail badly.
+	// Guards against a forged token: one with any character changed must be refused, and
+	// arbitrary text must not make Open panic.
 	s := New(Config{Key: []byte("key")})
 	good := s.Seal(token())
 	rapid.Check(t, func(rt *rapid.T) {
