--- a/internal/serve/claimer/claimer.go
+++ b/internal/serve/claimer/claimer.go
@@ -205,13 +205,13 @@
 
 // Wait returns when no operation is pending, or after the given time. It is for a
 // graceful stop.
-func (c *Claimer) Wait(most time.Duration) {
+func (c *Claimer) Wait(timeout time.Duration) {
 	done := make(chan struct{})
 	go func() {
 		c.group.Wait()
 		close(done)
 	}()
-	t := time.NewTimer(most)
+	t := time.NewTimer(timeout)
 	defer t.Stop()
 	select {
 	case <-done:
--- a/internal/serve/claimer/claimer_test.go
+++ b/internal/serve/claimer/claimer_test.go
@@ -30,7 +30,7 @@
 	modes
 )
 
-// store is a platform whose writes fail as scripted and whose next reads fail failedReads times.
+// store is a platform whose writes fail as scripted and whose next failedReads reads fail.
 type store struct {
 	mu          sync.Mutex
 	objects     map[string]object.Object
--- a/internal/serve/handler/answer.go
+++ b/internal/serve/handler/answer.go
@@ -29,11 +29,11 @@
 // sseWriter streams an answer as server-sent events, each with a resume token as
 // its id.
 type sseWriter struct {
-	w       http.ResponseWriter
-	j       *streamer.Job
-	seal    func([]netip.AddrPort) string
-	own     []netip.AddrPort
-	started bool
+	w             http.ResponseWriter
+	j             *streamer.Job
+	seal          func([]netip.AddrPort) string
+	selfAddresses []netip.AddrPort
+	started       bool
 }
 
 // WriteFrame sends one frame.
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("frame: %w", err)
 	}
-	return e.send(fmt.Sprintf("id: %s\ndata: %s\n\n", e.seal(e.own), data))
+	return e.send(fmt.Sprintf("id: %s\ndata: %s\n\n", e.seal(e.selfAddresses), data))
 }
 
 func (e *sseWriter) start() {
--- a/internal/serve/handler/model.go
+++ b/internal/serve/handler/model.go
@@ -33,7 +33,7 @@
 	seal := func(holders []netip.AddrPort) string { return h.seal(j, holders) }
 	var out answerWriter = &jsonWriter{j: j}
 	if j.Call.Streaming && j.Call.HoldFor == "" {
-		out = &sseWriter{w: w, j: j, seal: seal, own: h.c.Carrier.SelfAddresses()}
+		out = &sseWriter{w: w, j: j, seal: seal, selfAddresses: h.c.Carrier.SelfAddresses()}
 	}
 	err := h.c.Streamer.Run(ctx, j, out)
 	switch {
--- a/internal/serve/handler/resume.go
+++ b/internal/serve/handler/resume.go
@@ -147,7 +147,7 @@
 	}
 	missing := j.Delivered[offset:]
 	seal := func(holders []netip.AddrPort) string { return h.seal(j, holders) }
-	out := &sseWriter{w: w, j: j, seal: seal, own: h.c.Carrier.SelfAddresses()}
+	out := &sseWriter{w: w, j: j, seal: seal, selfAddresses: h.c.Carrier.SelfAddresses()}
 	delivered := j.Delivered
 	for i, text := range missing {
 		j.Offset = offset + i + 1
--- a/internal/serve/handler/witness.go
+++ b/internal/serve/handler/witness.go
@@ -132,12 +132,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), witnessTimeout)
 	defer cancel()
-	question := &call.Call{
+	witnessCall := &call.Call{
 		Request: c.Request, Instance: c.Instance + "-witness", Received: time.Now(), Plan: c.Plan, Organisation: c.Organisation,
 		Service: service, Pool: pool, Method: http.MethodPost, Path: witnessPath, Body: body,
 		Header: http.Header{"Content-Type": {"application/json"}, "Idempotency-Key": {e.Request}},
 	}
-	a, err := h.c.Forwarder.Forward(ctx, question, rec)
+	a, err := h.c.Forwarder.Forward(ctx, witnessCall, rec)
 	if err != nil {
 		return err
 	}
--- a/internal/serve/streamer/streamer.go
+++ b/internal/serve/streamer/streamer.go
@@ -7,7 +7,7 @@
 // An announced reclaim leaves time to import the KV cache: the stream moves
 // [moveMargin] ahead of the deadline, and one that ends sooner does not move.
 //
-// A request is started anew only if no earlier attempt can have run, or if it is
+// A request is restarted only if no earlier attempt can have run, or if it is
 // idempotent. Resuming a stream is not a second run, as it continues one answer
 // from a known token. If a non-idempotent request may have been sent and no frame
 // came back, only the engine that may hold the stream is asked to resume it. If
--- a/internal/serve/transferrer/transferrer.go
+++ b/internal/serve/transferrer/transferrer.go
@@ -155,24 +155,24 @@
 // Other zones come first.
 func (c *Transferrer) peersByZone() []*rpc.Member {
 	zone := c.c.Ledger.Self().AvailabilityZone
-	var near, far []*rpc.Member
+	var sameZone, otherZones []*rpc.Member
 	for _, m := range c.c.Ledger.Alive() {
 		if m.State != rpc.State_ALIVE {
 			continue
 		}
 		if m.AvailabilityZone == zone {
-			near = append(near, m)
+			sameZone = append(sameZone, m)
 		} else {
-			far = append(far, m)
+			otherZones = append(otherZones, m)
 		}
 	}
 	var out []*rpc.Member
-	for i := range max(len(near), len(far)) {
-		if i < len(far) {
-			out = append(out, far[i])
+	for i := range max(len(sameZone), len(otherZones)) {
+		if i < len(otherZones) {
+			out = append(out, otherZones[i])
 		}
-		if i < len(near) {
-			out = append(out, near[i])
+		if i < len(sameZone) {
+			out = append(out, sameZone[i])
 		}
 	}
 	return out
