--- a/internal/peer/roster/message.go
+++ b/internal/peer/roster/message.go
@@ -11,35 +11,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// told is the roster that a peer told last, by the hash of each zone's list.
-type told map[uint64]zoneList
+// receivedRoster holds the lists of daemons that a peer has sent, by their hash.
+type receivedRoster map[uint64]zoneList
 
-// zoneList are the addresses of a zone's daemons.
+// zoneList holds the peer addresses of a zone's daemons.
 type zoneList struct {
 	zone      identifier.AvailabilityZone
 	addresses []string
 }
 
-// messageAge is how old a list may be that is told: dozens of daemons ask within it.
-const messageAge = 100 * time.Millisecond
+// maxCacheAge is how long built rosters are reused: dozens of peers ask for them within it.
+const maxCacheAge = 100 * time.Millisecond
 
-// message is what was told last of each zone.
-type message struct {
+// cachedRosters holds the rosters of all zones as they were built last.
+type cachedRosters struct {
 	zones    map[identifier.AvailabilityZone]*rpc.ZoneRoster
 	relaying bool
-	at       time.Time
+	builtAt  time.Time
 }
 
-// ZoneRosters names the daemons of some zones that this one has heard lately, or of all if none
-// are named. A relay vouches for them; others name all that they know.
+// ZoneRosters returns the rosters of the given zones, or of all zones if none is given. With
+// relaying set they hold only daemons that this daemon knows to be live, of its own zone only
+// those that it has heard itself, so receivers take them to be live. Without it they hold all
+// known daemons. own is this daemon's entry. Rosters may be up to 100 ms old.
 func (r *Roster) ZoneRosters(zones []identifier.AvailabilityZone, relaying bool, own *rpc.Member, now time.Time) []*rpc.ZoneRoster {
 	r.mu.Lock()
-	m := r.message
+	m := r.cached
 	r.mu.Unlock()
-	if m.zones == nil || m.relaying != relaying || now.Sub(m.at) >= messageAge {
-		m = message{zones: r.lists(relaying, own, now), relaying: relaying, at: now}
+	if m.zones == nil || m.relaying != relaying || now.Sub(m.builtAt) >= maxCacheAge {
+		m = cachedRosters{zones: r.buildRosters(relaying, own, now), relaying: relaying, builtAt: now}
 		r.mu.Lock()
-		r.message = m
+		r.cached = m
 		r.mu.Unlock()
 	}
 	if len(zones) == 0 {
@@ -54,8 +56,8 @@
 	return out
 }
 
-// lists makes the lists of all zones.
-func (r *Roster) lists(relaying bool, own *rpc.Member, now time.Time) map[identifier.AvailabilityZone]*rpc.ZoneRoster {
+// buildRosters builds the rosters of all zones.
+func (r *Roster) buildRosters(relaying bool, own *rpc.Member, now time.Time) map[identifier.AvailabilityZone]*rpc.ZoneRoster {
 	members := map[identifier.AvailabilityZone][]*rpc.Member{r.c.Zone: {own}}
 	for _, d := range r.All(now) {
 		switch {
@@ -63,7 +65,7 @@
 			continue
 		case relaying && d.Zone == r.c.Zone && now.Sub(d.AnsweredAt) >= LivenessTimeout:
 			continue
-		case relaying && !d.lives(now):
+		case relaying && !d.isLive(now):
 			continue
 		}
 		members[d.Zone] = append(members[d.Zone], &rpc.Member{
@@ -77,18 +79,18 @@
 	return out
 }
 
-// hash tells lists apart. Their order is that of the addresses.
+// hash returns a hash of a zone's daemons, which are sorted by address.
 func hash(zone identifier.AvailabilityZone, members []*rpc.Member) uint64 {
 	sum := xxhash.New()
 	_, _ = sum.WriteString(string(zone))
 	for _, m := range members {
-		_, _ = sum.WriteString("/" + m.GetHost() + flags(m) + m.GetPeerAddress())
+		_, _ = sum.WriteString("/" + m.GetHost() + flagString(m) + m.GetPeerAddress())
 	}
 	return sum.Sum64()
 }
 
-// flags are what is told of a daemon, in a hash.
-func flags(m *rpc.Member) string {
+// flagString returns the flags of a daemon as they enter the hash.
+func flagString(m *rpc.Member) string {
 	out := []byte{'-', '-', '-'}
 	for i, set := range []bool{m.GetObserving(), m.GetStopping(), m.GetRelaying()} {
 		if set {
@@ -98,51 +100,54 @@
 	return string(out)
 }
 
-// named takes in the daemons that a digest names, and renews those that the same relay
-// named before and still does.
-func (r *Roster) named(digest *rpc.Digest, address string, now time.Time) {
+// mergeRosters adds the daemons that a digest lists. If a relay sent it, it also renews
+// VouchedAt of those daemons, including daemons of lists that the digest names only by the hash
+// of an earlier list.
+func (r *Roster) mergeRosters(digest *rpc.Digest, address string, now time.Time) {
 	vouched := time.Time{}
 	if digest.GetRelaying() {
 		vouched = now
 	}
-	before, next := r.told[address], make(told, len(digest.GetRosterHashes()))
+	previous, next := r.received[address], make(receivedRoster, len(digest.GetRosterHashes()))
 	for _, zone := range digest.GetRoster() {
-		next[zone.GetHash()] = r.members(zone, now)
+		next[zone.GetHash()] = r.addMembers(zone, now)
 	}
-	whole := true
+	allKnown := true
 	for _, hash := range digest.GetRosterHashes() {
-		list, known := before[hash]
+		list, known := previous[hash]
 		switch {
 		case next[hash].zone != "":
 		case known:
 			next[hash] = list
 		default:
-			whole = false
+			allKnown = false
 		}
 	}
-	r.told[address] = next
+	r.received[address] = next
 	if vouched.IsZero() {
 		return
 	}
-	// Relays of one zone would keep those of another alive in each other's eyes, and never
-	// call them, long after they had gone: a relay believes a relay for its own zone only.
-	teller, first := identifier.AvailabilityZone(digest.GetAvailabilityZone()), r.relaying(now)
-	if !whole {
-		// A zone whose list changed and changed back while the relay went by what this daemon
-		// had before is named by a hash that it has forgotten. Its daemons still live; the
-		// list comes with the next swap.
-		before = before.of(next)
+	// A relay trusts another relay only about the other relay's own zone. Otherwise two relays
+	// of one zone would keep the daemons of another zone live for each other and never call
+	// them, long after these had ended.
+	senderZone, senderZoneOnly := identifier.AvailabilityZone(digest.GetAvailabilityZone()), r.isRelay(now)
+	if !allKnown {
+		// The list of a zone may have changed and changed back before the relay learned that
+		// this daemon has the newer one. The relay then sends a hash that this daemon has
+		// dropped. The daemons of that zone are still live, and the full list comes with the
+		// next swap.
+		previous = previous.inZonesOf(next)
 	}
-	// Whom the relay does not name any more it has not heard lately; another may, whose word
-	// it does not take back.
-	r.vouch(before, time.Time{}, address, teller, first)
-	r.vouch(next, vouched, address, teller, first)
+	// Daemons that this relay no longer lists have not been heard by it lately. What another
+	// relay said about them stays.
+	r.setVouched(previous, time.Time{}, address, senderZone, senderZoneOnly)
+	r.setVouched(next, vouched, address, senderZone, senderZoneOnly)
 }
 
-// of are the lists of those zones that another one has, too.
-func (t told) of(other told) told {
-	out := make(told, len(t))
-	for hash, list := range t {
+// inZonesOf returns the lists of zones that other has a list of, too.
+func (r receivedRoster) inZonesOf(other receivedRoster) receivedRoster {
+	out := make(receivedRoster, len(r))
+	for hash, list := range r {
 		for _, o := range other {
 			if o.zone == list.zone {
 				out[hash] = list
@@ -152,23 +157,24 @@
 	return out
 }
 
-// vouch sets when the daemons of a roster were last said to live by the relay at an address:
-// first of those of the teller's zone only. No time takes back what that relay said.
-func (r *Roster) vouch(t told, at time.Time, by string, teller identifier.AvailabilityZone, first bool) {
-	for _, list := range t {
-		if first && list.zone != teller {
+// setVouched sets when the relay at the address by last said that the daemons of a roster are
+// live, with senderZoneOnly just for daemons of senderZone. A zero time withdraws only what that
+// same relay said.
+func (r *Roster) setVouched(lists receivedRoster, at time.Time, by string, senderZone identifier.AvailabilityZone, senderZoneOnly bool) {
+	for _, list := range lists {
+		if senderZoneOnly && list.zone != senderZone {
 			continue
 		}
 		for _, address := range list.addresses {
-			if d := r.daemons[address]; d != nil && (!at.IsZero() || d.voucher == by) {
-				d.VouchedAt, d.voucher = at, by
+			if d := r.daemons[address]; d != nil && (!at.IsZero() || d.vouchedBy == by) {
+				d.VouchedAt, d.vouchedBy = at, by
 			}
 		}
 	}
 }
 
-// members takes in the daemons of a zone.
-func (r *Roster) members(zone *rpc.ZoneRoster, now time.Time) zoneList {
+// addMembers adds the daemons of a zone and returns their addresses.
+func (r *Roster) addMembers(zone *rpc.ZoneRoster, now time.Time) zoneList {
 	list := zoneList{zone: identifier.AvailabilityZone(zone.GetAvailabilityZone())}
 	for _, m := range zone.GetDaemons() {
 		d := r.add(m.GetPeerAddress())
@@ -176,8 +182,8 @@
 			continue
 		}
 		list.addresses = append(list.addresses, d.Address)
-		if now.Sub(d.AnsweredAt) > answerBy {
-			// It has not told by itself a moment ago.
+		if now.Sub(d.AnsweredAt) > answerInterval {
+			// The daemon has not sent its own, newer digest in the last second.
 			d.Host, d.Zone = identifier.Host(m.GetHost()), identifier.AvailabilityZone(zone.GetAvailabilityZone())
 			d.Observing, d.Stopping, d.Relaying = m.GetObserving(), m.GetStopping(), m.GetRelaying()
 			r.zones[d.Zone] = true
@@ -186,9 +192,9 @@
 	return list
 }
 
-// KnownHashes are the hashes of what a daemon told.
+// KnownHashes returns the sorted hashes of the lists last received from the peer at an address.
 func (r *Roster) KnownHashes(address string) []uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Sorted(maps.Keys(r.told[address]))
+	return slices.Sorted(maps.Keys(r.received[address]))
 }
--- a/internal/peer/roster/relays.go
+++ b/internal/peer/roster/relays.go
@@ -8,16 +8,16 @@
 	"brasschute/internal/core/identifier"
 )
 
-// relays is how many daemons of each zone relay.
-func (r *Roster) relays() int {
-	return max(perZone, (leastRelays+len(r.zones)-1)/len(r.zones))
+// relaysPerZone returns how many daemons of each zone act as relays.
+func (r *Roster) relaysPerZone() int {
+	return max(minRelaysPerZone, (minRelays+len(r.zones)-1)/len(r.zones))
 }
 
-// byRank orders daemons, the first to relay first.
+// byRank compares daemons by [Rank].
 func byRank(a, b Daemon) int { return cmp.Compare(Rank(a.Host), Rank(b.Host)) }
 
-// Relays returns the daemons of a zone that relay, first by rank; without this one. Where
-// none lives, those that may are returned.
+// Relays returns the relays of a zone by rank, without this daemon. Where no daemon is known to
+// be live, it returns the first ones that may be.
 func (r *Roster) Relays(zone identifier.AvailabilityZone, now time.Time) []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -25,7 +25,7 @@
 	for _, d := range r.daemons {
 		switch {
 		case d.Host == "" || d.Zone != zone:
-		case d.usable(now):
+		case d.usableAsRelay(now):
 			usable = append(usable, *d)
 		case !d.Stopping:
 			known = append(known, *d)
@@ -35,21 +35,21 @@
 		usable = known
 	}
 	slices.SortFunc(usable, byRank)
-	n := r.relays()
-	if zone == r.c.Zone && r.before(usable) < n {
+	n := r.relaysPerZone()
+	if zone == r.c.Zone && r.countBefore(usable) < n {
 		n--
 	}
 	out := slices.Clone(usable[:min(n, len(usable))])
 	for _, d := range usable[len(out):] {
-		if d.Relaying && d.lives(now) && len(out) < n+mostExtra {
+		if d.Relaying && d.isLive(now) && len(out) < n+maxExtraRelays {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// before counts the daemons that go before this one.
-func (r *Roster) before(daemons []Daemon) int {
+// countBefore counts the daemons of a list that rank before this one.
+func (r *Roster) countBefore(daemons []Daemon) int {
 	n, own := 0, Rank(r.c.Host)
 	for i := range daemons {
 		if Rank(daemons[i].Host) < own {
@@ -59,63 +59,63 @@
 	return n
 }
 
-// IsRelay tells whether this daemon relays, by its name.
+// IsRelay reports whether this daemon is a relay of its zone.
 func (r *Roster) IsRelay(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.relaying(now)
+	return r.isRelay(now)
 }
 
-// relaying is Relaying for callers that hold the lock.
-func (r *Roster) relaying(now time.Time) bool {
-	return r.place(now, func(*Daemon) bool { return true }) < r.relays()
+// isRelay is IsRelay for callers that hold the lock.
+func (r *Roster) isRelay(now time.Time) bool {
+	return r.rankInZone(now, func(*Daemon) bool { return true }) < r.relaysPerZone()
 }
 
-// FollowsStore tells whether this daemon follows the store for others: the first relays of
-// each zone do, [leastFollowers] in the fleet. One that does not reach the store is passed
-// over; where hardly any does, all relays try.
+// FollowsStore reports whether this daemon watches the store for others. The first relays of
+// each zone do, [minFollowers] or more in the fleet. A relay that does not reach the store is
+// skipped. If fewer than [minObservers] other daemons reach it, every relay tries.
 func (r *Roster) FollowsStore(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.relaying(now) {
+	if !r.isRelay(now) {
 		return false
 	}
-	perZone := (leastFollowers + len(r.zones) - 1) / len(r.zones)
-	if r.place(now, func(d *Daemon) bool { return d.Observing }) < perZone {
+	followersPerZone := (minFollowers + len(r.zones) - 1) / len(r.zones)
+	if r.rankInZone(now, func(d *Daemon) bool { return d.Observing }) < followersPerZone {
 		return true
 	}
 	observers := 0
 	for _, d := range r.daemons {
-		if d.Observing && !d.Stopping && d.lives(now) {
+		if d.Observing && !d.Stopping && d.isLive(now) {
 			observers++
 		}
 	}
-	return observers < leastObservers
+	return observers < minObservers
 }
 
-// DisplacedRelays returns the daemons that would relay in place of this one if they lived. They
-// may have been cut off and relay for others that this daemon does not hear: unless somebody
-// calls them, the fleet stays in two parts.
+// DisplacedRelays returns the daemons that would be relays in place of this one if they were
+// live. They may be cut off and serve as relays for daemons that this one does not hear, so
+// unless they are called, the fleet stays split in two.
 func (r *Roster) DisplacedRelays(now time.Time) []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	own := Rank(r.c.Host)
 	var out []Daemon
 	for _, d := range r.daemons {
-		if d.Host != "" && d.Zone == r.c.Zone && !d.lives(now) && Rank(d.Host) < own {
+		if d.Host != "" && d.Zone == r.c.Zone && !d.isLive(now) && Rank(d.Host) < own {
 			out = append(out, *d)
 		}
 	}
 	slices.SortFunc(out, byRank)
-	return out[:min(r.relays(), len(out))]
+	return out[:min(r.relaysPerZone(), len(out))]
 }
 
-// place is the number of daemons of the own zone that go before this one, of those that
-// pass a check.
-func (r *Roster) place(now time.Time, passes func(*Daemon) bool) int {
+// rankInZone counts the usable daemons of this daemon's zone that rank before it and pass a
+// check.
+func (r *Roster) rankInZone(now time.Time, passes func(*Daemon) bool) int {
 	n, own := 0, Rank(r.c.Host)
 	for _, d := range r.daemons {
-		if d.Zone == r.c.Zone && Rank(d.Host) < own && d.usable(now) && passes(d) {
+		if d.Zone == r.c.Zone && Rank(d.Host) < own && d.usableAsRelay(now) && passes(d) {
 			n++
 		}
 	}
--- a/internal/peer/roster/roster.go
+++ b/internal/peer/roster/roster.go
@@ -1,22 +1,20 @@
-// Package roster knows which daemons there are, which of them live, and which relay.
+// Package roster keeps the daemons of the fleet: their zones and addresses, which of them are
+// live, and which are relays.
 //
-// # Who lives
+// A daemon is live if it has answered or called lately, or if a relay says so. Each relay lists
+// the daemons that it hears itself to the daemons of its zone and to the other relays. Any other
+// daemon's list only adds addresses to try, so that daemons can't keep an ended one live by
+// repeating it to each other.
 //
-// A daemon lives if it has answered or called lately, or if a relay says so: each relay
-// names the daemons that it hears itself to those of its zone and to the other relays. What
-// others name besides is an address to try, and no more, so that no daemon is kept alive by
-// hearsay in a circle.
-//
-// # Who relays
-//
-// In each availability zone the living daemons relay whose names hash lowest, [perZone] of
-// them or as many as make [leastRelays] in the fleet. Everybody picks them by itself; a
-// daemon that can't reach one of them picks the next. Whoever says that it relays does.
+// In each availability zone the live daemons whose names hash lowest are relays:
+// [minRelaysPerZone] of them, or as many as make [minRelays] in the fleet. Each daemon
+// determines them by itself, and replaces a relay that it can't reach with the next one. A
+// daemon that says it is a relay is used as one.
 //
 // # Usage
 //
 //	r := roster.New(roster.Config{Host: "front-1", Zone: "a", Address: "10.1.0.4:82"})
-//	r.Answered(digest, address, now)
+//	r.RecordAnswer(digest, address, now)
 //	relays := r.Relays("a", now)
 package roster
 
@@ -33,63 +31,65 @@
 )
 
 const (
-	// perZone is how many daemons of a zone relay: the loss of one is borne without a gap
-	// in the news. leastRelays of the fleet do, so that a failure of most leaves some.
-	perZone     = 2
-	leastRelays = 8
-	// mostExtra is how many more are called that say they relay: the holder of the duties,
-	// and one whose view differs. When a fleet starts each daemon knows hardly any other,
-	// and all say so.
-	mostExtra = 2
-	// leastFollowers of them follow the store for the others, one of each zone at least. Each
-	// call is priced, and each change of an endpoint wakes each of them: with 12 of 24
-	// daemons a minute took 2,141 calls, with six 1,316. leastObservers must say that they
-	// reach it, or all relays try.
-	leastFollowers = 4
-	leastObservers = 2
-	// LivenessTimeout is how long a daemon counts as living after it was heard, directly or by a
-	// relay.
+	// minRelaysPerZone lets a zone lose one relay without a gap in the updates. minRelays in the
+	// fleet leaves some after most have failed.
+	minRelaysPerZone = 2
+	minRelays        = 8
+	// maxExtraRelays bounds the daemons that are called as relays besides those chosen by rank
+	// because they say that they are: the holder of the duties lease, and one whose view of the
+	// fleet differs. Without a bound, a daemon of a starting fleet would call all others, as
+	// each knows hardly any other and takes itself for a relay.
+	maxExtraRelays = 2
+	// minFollowers is how many relays watch the store for the others, at least one in each zone.
+	// Each call to the store is priced, and each change of an endpoint costs each follower a
+	// call: with 12 followers among 24 daemons a minute took 2,141 calls, with six 1,316. If
+	// fewer than minObservers say that they reach the store, all relays try.
+	minFollowers = 4
+	minObservers = 2
+	// LivenessTimeout is how long a daemon counts as live after it was heard directly or a relay
+	// listed it.
 	LivenessTimeout = 3 * time.Second
-	// failing is how long a daemon that did not answer is passed over as a relay, if it
-	// has not been heard for as long as answered calls are apart.
-	failing  = 3 * time.Second
-	answerBy = time.Second
-	// forget is how long an address is tried in vain.
-	forget = 60 * time.Second
-	// mostDaemons bounds what is kept.
-	mostDaemons = 2048
+	// failureMemory is how long a daemon is not used as a relay after a failed call, unless it
+	// has answered within answerInterval, the time between answered calls.
+	failureMemory  = 3 * time.Second
+	answerInterval = time.Second
+	// forgetAfter is how long an address is kept and tried without an answer.
+	forgetAfter = 60 * time.Second
+	// maxDaemons bounds the daemons that are kept.
+	maxDaemons = 2048
 )
 
-// Rank orders daemons by name, the same everywhere: the lowest go first.
+// Rank returns a hash of a host's name that orders daemons in the same way everywhere. The
+// lowest ranks are relays.
 func Rank(host identifier.Host) uint64 { return xxhash.Sum64String(string(host)) }
 
-// Config names this daemon.
+// Config identifies this daemon.
 type Config struct {
 	Host    identifier.Host
 	Zone    identifier.AvailabilityZone
 	Address string
 }
 
-// Daemon is one of the others.
+// Daemon is another daemon of the fleet.
 type Daemon struct {
 	// Host is empty where only the address is known.
 	Host    identifier.Host
 	Zone    identifier.AvailabilityZone
 	Address string
-	// Observing: it follows the store and reaches it. Stopping: it takes no new work.
-	// Relaying: it says that it relays.
+	// Observing means that the daemon watches the store and reaches it, Stopping that it takes
+	// no new work, Relaying that it says it is a relay.
 	Observing, Stopping, Relaying bool
-	// AnsweredAt is when it last answered or called, VouchedAt when a relay last said that it
-	// lives, AddedAt when it became known.
+	// AnsweredAt is when the daemon last answered or called, VouchedAt when a relay last said
+	// that it is live, AddedAt when it became known.
 	AnsweredAt, VouchedAt, AddedAt time.Time
-	// voucher is the address of the relay that said so.
-	voucher string
-	// Lost: it did not answer the last call, made at Failed.
-	Lost   bool
+	// vouchedBy is the address of the relay that set VouchedAt.
+	vouchedBy string
+	// Lost means that the last call to the daemon, made at FailedAt, failed.
+	Lost     bool
 	FailedAt time.Time
 }
 
-// LastHeard is when it was last heard of.
+// LastHeard returns when the daemon last answered, called or was listed by a relay.
 func (d *Daemon) LastHeard() time.Time {
 	if d.VouchedAt.After(d.AnsweredAt) {
 		return d.VouchedAt
@@ -97,50 +97,50 @@
 	return d.AnsweredAt
 }
 
-// lives tells whether it was heard of lately.
-func (d *Daemon) lives(now time.Time) bool {
+// isLive reports whether the daemon was heard within LivenessTimeout.
+func (d *Daemon) isLive(now time.Time) bool {
 	return d.Host != "" && now.Sub(d.LastHeard()) < LivenessTimeout
 }
 
-// usable tells whether this daemon may pick it as a relay. One that was named lately and
-// has not been called yet may live: when a whole fleet starts, its relays are found by the
-// names that the store kept.
-func (d *Daemon) usable(now time.Time) bool {
+// usableAsRelay reports whether this daemon may choose d as a relay. A daemon that became known
+// lately and has not been called yet may be live: when a whole fleet starts, its relays are
+// found by the names in the store.
+func (d *Daemon) usableAsRelay(now time.Time) bool {
 	fresh := d.Host != "" && d.LastHeard().IsZero() && now.Sub(d.AddedAt) < LivenessTimeout
-	failed := now.Sub(d.FailedAt) < failing && now.Sub(d.AnsweredAt) > answerBy
-	return (d.lives(now) || fresh) && !d.Stopping && !failed
+	failed := now.Sub(d.FailedAt) < failureMemory && now.Sub(d.AnsweredAt) > answerInterval
+	return (d.isLive(now) || fresh) && !d.Stopping && !failed
 }
 
-// Roster is the list of daemons. It is safe for concurrent use.
+// Roster keeps the daemons of the fleet. It is safe for concurrent use.
 type Roster struct {
 	c Config
 
 	mu      sync.Mutex
 	daemons map[string]*Daemon
-	// told is by the teller's address.
-	told map[string]told
-	// zones are those that daemons were named in.
+	// received holds the rosters that daemons have sent, by the sender's address.
+	received map[string]receivedRoster
+	// zones are the zones of all daemons seen so far, and this daemon's own.
 	zones map[identifier.AvailabilityZone]bool
-	// message is what was told last.
-	message message
+	// cached holds the rosters that were built last.
+	cached cachedRosters
 }
 
 // New returns a roster without other daemons.
 func New(c Config) *Roster {
 	return &Roster{
-		c: c, daemons: make(map[string]*Daemon), told: make(map[string]told),
+		c: c, daemons: make(map[string]*Daemon), received: make(map[string]receivedRoster),
 		zones: map[identifier.AvailabilityZone]bool{c.Zone: true},
 	}
 }
 
-// Add makes an address known.
+// Add adds a daemon of which only the address is known.
 func (r *Roster) Add(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.add(address)
 }
 
-// AddNamed makes a daemon known that may live.
+// AddNamed adds a daemon that may be live, such as one with an entry in the store.
 func (r *Roster) AddNamed(host identifier.Host, zone identifier.AvailabilityZone, address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -152,15 +152,15 @@
 
 func (r *Roster) add(address string) *Daemon {
 	d := r.daemons[address]
-	if d == nil && address != "" && address != r.c.Address && len(r.daemons) < mostDaemons {
+	if d == nil && address != "" && address != r.c.Address && len(r.daemons) < maxDaemons {
 		d = &Daemon{Address: address, AddedAt: time.Now()}
 		r.daemons[address] = d
 	}
 	return d
 }
 
-// RecordAnswer takes in a digest that came from, or leads to, an address. It reports whether
-// the daemon had been lost.
+// RecordAnswer merges the digest of the daemon at an address, which has called or answered. It
+// reports whether the daemon had been lost.
 func (r *Roster) RecordAnswer(digest *rpc.Digest, address string, now time.Time) (regained bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -175,11 +175,12 @@
 	for _, other := range digest.GetPeers() {
 		r.add(other)
 	}
-	r.named(digest, address, now)
+	r.mergeRosters(digest, address, now)
 	return regained
 }
 
-// RecordFailure notes that a daemon did not answer, and returns it if it had before.
+// RecordFailure records that a call to a daemon failed. It returns the daemon, and true, if it
+// had answered before and was not yet lost.
 func (r *Roster) RecordFailure(address string, now time.Time) (lost Daemon, news bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -195,8 +196,8 @@
 	return *d, true
 }
 
-// All returns all daemons, in the order of their addresses; those that have been silent
-// for long are forgotten.
+// All returns all daemons, sorted by address. It first drops those that have not been heard for
+// a minute.
 func (r *Roster) All(now time.Time) []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -206,9 +207,9 @@
 		if last.IsZero() {
 			last = d.AddedAt
 		}
-		if now.Sub(last) > forget {
+		if now.Sub(last) > forgetAfter {
 			delete(r.daemons, address)
-			delete(r.told, address)
+			delete(r.received, address)
 			continue
 		}
 		out = append(out, *d)
@@ -217,33 +218,33 @@
 	return out
 }
 
-// LiveDaemons returns the daemons that live.
+// LiveDaemons returns the live daemons, in no order.
 func (r *Roster) LiveDaemons(now time.Time) []Daemon {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	out := make([]Daemon, 0, len(r.daemons))
 	for _, d := range r.daemons {
-		if d.lives(now) {
+		if d.isLive(now) {
 			out = append(out, *d)
 		}
 	}
 	return out
 }
 
-// Count is the number of daemons that live, this one included.
+// Count returns the number of live daemons, this one included.
 func (r *Roster) Count(now time.Time) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 1
 	for _, d := range r.daemons {
-		if d.lives(now) {
+		if d.isLive(now) {
 			n++
 		}
 	}
 	return n
 }
 
-// Zones returns the other zones that daemons were named in.
+// Zones returns the other zones that daemons were seen in, sorted.
 func (r *Roster) Zones() []identifier.AvailabilityZone {
 	r.mu.Lock()
 	defer r.mu.Unlock()
