--- a/internal/peer/syncer/rounds.go
+++ b/internal/peer/syncer/rounds.go
@@ -8,80 +8,83 @@
 )
 
 const (
-	// period is how often a pair of a small fleet swaps. An organisation at eight times
-	// its usual load sends some 10% of its quota's window in a second.
+	// period is the time between swaps of each pair of daemons in a small fleet. An organisation
+	// at eight times its usual load sends about 10% of its quota's window in a second.
 	period = time.Second
-	// jitterPart is the part of a pause by which rounds come earlier or later.
-	jitterPart = 5
-	// eager is how long after its start a daemon calls those that it has not heard
-	// yet each eagerPause. Until it hears the others it gives out its own part of
-	// each quota only.
-	eager      = 4 * time.Second
-	eagerPause = 250 * time.Millisecond
-	// slowAfter is when a silent address is tried only each fifth period.
-	slowAfter = 5 * time.Second
-	slowEach  = 5
+	// jitterDivisor sets the jitter of pauses: up to a fifth of them.
+	jitterDivisor = 5
+	// startupTime is how long after its start a daemon calls those that it has not heard yet
+	// each startupPause. Until it hears the others it gives out only its own share of each
+	// quota.
+	startupTime  = 4 * time.Second
+	startupPause = 250 * time.Millisecond
+	// slowAfter is how long an address is silent before it is called only each fifth period.
+	slowAfter       = 5 * time.Second
+	slowEveryRounds = 5
 
-	// tick is how often a daemon of a large fleet looks whom to call.
+	// tick is how often a daemon of a large fleet checks which calls are due.
 	tick = 125 * time.Millisecond
-	// relayPeriod is how often it calls the first relay of its zone, and relays call each
-	// other; standbyPeriod how often the others of its zone, whose sums stand by.
+	// relayPeriod is the time between calls to the first relay of the zone, and between relays
+	// of different zones. standbyPeriod is that to the other relays of the zone, whose sums are
+	// on standby.
 	relayPeriod   = 400 * time.Millisecond
 	standbyPeriod = time.Second
-	// strangers is how many daemons are tried at a time that were never heard, or by a
-	// daemon that hears no relay; strangerPause is the pause between tries otherwise.
-	strangers     = 3
-	strangerPause = 2 * time.Second
-	// missing is how long a relay has not been heard that the other one of a pair should
-	// have called.
-	missing = 1250 * time.Millisecond
+	// maxUnheardCalls is how many unheard daemons a daemon that hears no relay calls each
+	// startupPause. One that hears a relay calls one unheard daemon each unheardPause.
+	maxUnheardCalls = 3
+	unheardPause    = 2 * time.Second
+	// relaySilence is how long a relay that should call this one may be silent before this one
+	// calls it.
+	relaySilence = 1250 * time.Millisecond
 )
 
-// due returns the addresses to call now and the time until the next look.
+// due returns the addresses to call now and the time until it is called again.
 func (s *Syncer) due() ([]string, time.Duration) {
 	now := time.Now()
 	if s.c.LargeFleet() {
-		return s.reserve(s.relayed(now)), tick
+		return s.reserve(s.dueInLargeFleet(now)), tick
 	}
 	s.mu.Lock()
 	s.round++
 	round := s.round
 	s.mu.Unlock()
-	young := now.Sub(s.started) < eager
-	// In its first seconds a daemon looks more often, for those that it does not know.
-	looks := int(period / eagerPause)
-	regular := !young || round%looks == 1
+	starting := now.Sub(s.started) < startupTime
+	// In its first seconds a daemon also calls unknown daemons more often than each period.
+	checksPerPeriod := int(period / startupPause)
+	regular := !starting || round%checksPerPeriod == 1
 	var out []string
 	for _, d := range s.c.Roster.All(now) {
-		if regular && s.mine(&d, now, round) || !regular && d.Host == "" {
+		if regular && s.shouldCall(&d, now, round) || !regular && d.Host == "" {
 			out = append(out, d.Address)
 		}
 	}
 	pause := period
-	if young {
-		pause = eagerPause
+	if starting {
+		pause = startupPause
 	}
-	return s.reserve(out), pause - pause/jitterPart + rand.N(2*pause/jitterPart)
+	return s.reserve(out), pause - pause/jitterDivisor + rand.N(2*pause/jitterDivisor)
 }
 
-// mostCalls bounds what is kept of calls; those of daemons that are forgotten go first.
-const mostCalls = 4096
+// maxPeerStates bounds the states of peers that are kept. Those without a call under way are
+// dropped first.
+const maxPeerStates = 4096
 
-// reserve leaves out the peers to which a call is under way.
+// reserve leaves out the peers to which a call is under way and marks the others as being
+// called.
 func (s *Syncer) reserve(addresses []string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for address, c := range s.calls {
-		if len(s.calls) <= mostCalls {
+	for address, c := range s.peers {
+		if len(s.peers) <= maxPeerStates {
 			break
 		}
 		if !c.busy {
-			delete(s.calls, address)
+			delete(s.peers, address)
 		}
 	}
 	out := addresses[:0]
 	for _, address := range addresses {
-		if c := s.call(address); !c.busy {
+		if c := s.peerState(address); !c.busy {
 			c.busy = true
 			out = append(out, address)
 		}
@@ -89,31 +92,31 @@
 	return out
 }
 
-// mine tells whether it is for this daemon, and time, to call a peer of a small fleet.
-func (s *Syncer) mine(d *roster.Daemon, now time.Time, round int) bool {
+// shouldCall reports whether this daemon should call a peer of a small fleet in this round.
+func (s *Syncer) shouldCall(d *roster.Daemon, now time.Time, round int) bool {
 	last := d.AnsweredAt
 	if last.IsZero() {
 		last = d.AddedAt
 	}
 	silent := now.Sub(last)
 	if silent > slowAfter+period {
-		return round%slowEach == 0
+		return round%slowEveryRounds == 0
 	}
-	// The pair's other daemon calls, unless it has fallen silent: then it may
-	// not know this one.
+	// The daemon with the lower host name calls, unless the peer has been silent: then it may
+	// not know this daemon.
 	return d.Host == "" || d.Host >= s.c.Host || silent >= 2*period+time.Second
 }
 
-// relayed returns whom to call now in a large fleet.
-func (s *Syncer) relayed(now time.Time) []string {
+// dueInLargeFleet returns the addresses to call now in a large fleet.
+func (s *Syncer) dueInLargeFleet(now time.Time) []string {
 	p := planner{s: s, now: now}
 	relaying := s.c.Relaying()
 	heard := false
 	for i, d := range s.c.Roster.Relays(s.c.Zone, now) {
-		// One that says that it does not relay has found others that go before it.
+		// A daemon that says it is no relay has found others that rank before it.
 		heard = heard || d.Relaying && now.Sub(d.AnsweredAt) < standbyPeriod+relayPeriod
 		switch {
-		case relaying && d.Relaying && d.Host < s.c.Host && now.Sub(d.AnsweredAt) < missing:
+		case relaying && d.Relaying && d.Host < s.c.Host && now.Sub(d.AnsweredAt) < relaySilence:
 		case i == 0:
 			p.add(d.Address, relayPeriod)
 		default:
@@ -121,21 +124,21 @@
 		}
 	}
 	if relaying {
-		s.acrossZones(&p)
+		s.addOtherZoneRelays(&p)
 		for _, d := range s.c.Roster.DisplacedRelays(now) {
 			p.add(d.Address, standbyPeriod)
 		}
 	}
-	s.strange(&p, heard || relaying && now.Sub(s.started) > eager)
+	s.addUnheard(&p, heard || relaying && now.Sub(s.started) > startupTime)
 	return p.out
 }
 
-// acrossZones adds the relays of the other zones. Of a pair the one with the lower name
-// calls, unless the other has not been heard.
-func (s *Syncer) acrossZones(p *planner) {
+// addOtherZoneRelays adds the relays of the other zones. Of a pair of relays the one with the
+// lower host name calls, unless the other has been silent.
+func (s *Syncer) addOtherZoneRelays(p *planner) {
 	for _, zone := range s.c.Roster.Zones() {
 		for _, d := range s.c.Roster.Relays(zone, p.now) {
-			silent := p.now.Sub(d.AnsweredAt) >= missing
+			silent := p.now.Sub(d.AnsweredAt) >= relaySilence
 			switch {
 			case d.Host < s.c.Host && !silent:
 			case silent && !d.AnsweredAt.IsZero():
@@ -147,15 +150,15 @@
 	}
 }
 
-// strange adds some daemons that were never heard, by a daemon that hears no relay some of
-// those that do not seem to live, of its zone if there are any: after a loss of all power, or
-// a cut, the way back into the fleet.
-func (s *Syncer) strange(p *planner, heard bool) {
-	n, pause := 1, strangerPause
+// addUnheard adds some daemons that were never heard. If this daemon hears no relay, it also
+// adds some that seem dead, those of its own zone first: this is how it rejoins the fleet after
+// a power loss or a partition.
+func (s *Syncer) addUnheard(p *planner, heard bool) {
+	n, pause := 1, unheardPause
 	if !heard {
-		n, pause = strangers, eagerPause
+		n, pause = maxUnheardCalls, startupPause
 	}
-	if !p.wait(stranger, pause) {
+	if !p.claimIfDue(unheardKey, pause) {
 		return
 	}
 	var list, near []string
@@ -177,8 +180,8 @@
 	}
 }
 
-// stranger stands for the addresses that are tried, in the times of the calls.
-const stranger = ""
+// unheardKey is the key of Syncer.peers under which the next call to an unheard daemon is timed.
+const unheardKey = ""
 
 // planner collects the calls that are due.
 type planner struct {
@@ -187,22 +190,22 @@
 	out []string
 }
 
-// add adds an address if its last call was a period ago.
+// add adds an address if its period has passed.
 func (p *planner) add(address string, period time.Duration) {
-	if p.wait(address, period) {
+	if p.claimIfDue(address, period) {
 		p.out = append(p.out, address)
 	}
 }
 
-// wait tells whether a period has passed since it last did for an address.
-func (p *planner) wait(address string, period time.Duration) bool {
+// claimIfDue reports whether the period of an address has passed, and if so starts the next one.
+func (p *planner) claimIfDue(address string, period time.Duration) bool {
 	p.s.mu.Lock()
 	defer p.s.mu.Unlock()
-	c := p.s.call(address)
+	c := p.s.peerState(address)
 	if p.now.Before(c.next) {
 		return false
 	}
-	// The daemons of a fleet start together; their calls need not stay so.
-	c.next = p.now.Add(period - period/jitterPart + rand.N(period/jitterPart))
+	// Random pauses, as the daemons of a fleet may have started at the same time.
+	c.next = p.now.Add(period - period/jitterDivisor + rand.N(period/jitterDivisor))
 	return true
 }
--- a/internal/peer/syncer/syncer.go
+++ b/internal/peer/syncer/syncer.go
@@ -1,31 +1,27 @@
-// Package swapper exchanges digests with the other daemons of the fleet.
+// Package syncer exchanges digests with the other daemons of the fleet.
 //
-// # Who calls whom
+// In a small fleet each pair of daemons swaps digests in one call each [period], made by the one
+// with the lower host name. So a digest is at most a period old at every other daemon, and
+// outlives the daemon there.
 //
-// In a small fleet each pair of daemons swaps digests once a [period], in one call, made
-// by the one whose host name is lower. So news of a daemon is at most a period old at
-// every other one, and survives the daemon's end there.
-//
-// In a large fleet that would be 19,000 calls a second among 195 daemons, or news that is
+// In a large fleet that would be 19,000 calls a second among 195 daemons, or digests that are
 // 13 s old. There a daemon swaps with the relays of its zone, with the first one each
-// [relayPeriod], and relays with each other; see the packages roster and aggregator. So a
-// daemon that does not relay makes four calls a second whatever the fleet, and one that
-// does takes part in some four for each daemon of its zone and each other relay.
-//
-// Addresses come from the settings' seeds, the store, and the digests themselves.
+// [relayPeriod], and relays swap with each other; see packages roster and aggregator. A daemon
+// that is not a relay makes about four calls a second whatever the size of the fleet. A relay
+// takes part in about four a second for each daemon of its zone and each other relay.
 //
-// # News
+// Addresses come from the settings' seeds, from the store and from the digests.
 //
 // A change of the configuration or of an endpoint does not wait for the next round:
 // [Syncer.TriggerNotes] sends a note of a few dozen bytes to all peers of a small fleet, or to
-// the relays and the daemons of the own zone, and those that lag ask for the difference.
+// the relays and the daemons of the own zone. Those that lack the change then fetch it.
 //
 // # Usage
 //
-//	s := swapper.New(swapper.Config{Self: build, Roster: r, Gatherer: &g, ...})
+//	s := syncer.New(syncer.Config{BuildDigest: build, Roster: r, Gatherer: &g, ...})
 //	go s.Serve(ctx)
 //
-// Swap and Notice answer peers' calls; they are part of rpc.Fleet.
+// Swap and Notice answer the calls of peers; they are part of rpc.Fleet.
 package syncer
 
 import (
@@ -47,120 +43,121 @@
 )
 
 const (
-	// callTimeout is below the period, so that a silent peer holds up nothing.
+	// callTimeout is below the period, so that a peer that does not answer delays no other call.
 	callTimeout = 700 * time.Millisecond
-	// leastPause is the pause after a round of notes.
-	leastPause = 200 * time.Millisecond
-	// parallel bounds the calls under way.
-	parallel = 32
-	// smallAge and largeAge are how old the news of a peer may be: a period, or the way
-	// over two relays (p99 1.3 s at 195 daemons) and what it takes to do without one. With
-	// 1.5 s taken for it, sixty daemons gave out 1.29 of a quota in a sudden load, with
-	// 1.75 s 1.10, with two 0.92.
-	smallAge = time.Second
-	largeAge = 2 * time.Second
+	// notePause is the pause between the two times that notes are sent.
+	notePause = 200 * time.Millisecond
+	// maxParallelCalls bounds the calls under way.
+	maxParallelCalls = 32
+	// smallFleetDigestAge and largeFleetDigestAge are how old a peer's digest may be: a period,
+	// or the time that it takes over two relays (p99 1.3 s at 195 daemons) and to replace a lost
+	// relay. In a sudden load sixty daemons gave out 1.29 of a quota with 1.5 s, 1.10 with
+	// 1.75 s and 0.92 with 2 s.
+	smallFleetDigestAge = time.Second
+	largeFleetDigestAge = 2 * time.Second
 )
 
-// Receiver is whom a digest is for.
+// Receiver is the daemon that a digest is built for.
 type Receiver struct {
 	Host    identifier.Host
 	Zone    identifier.AvailabilityZone
 	Address string
-	// Relaying and HoldsDuties as it told them last; RosterKnown are the hashes of the
-	// rosters that it has from this daemon.
+	// Relaying and HoldsDuties are as the receiver last sent them. KnownRosterHashes are the
+	// hashes of the rosters that it has from this daemon.
 	Relaying, HoldsDuties bool
-	KnownRosterHashes           []uint64
-	// FullMesh: it swaps with all others, as daemons of a small fleet and of the version
-	// before do, and knows no sums.
+	KnownRosterHashes     []uint64
+	// FullMesh means that the receiver swaps with all daemons and does not read sums, as daemons
+	// of a small fleet and of the previous version do.
 	FullMesh bool
 }
 
-// Config names the swapper's collaborators.
+// Config holds the syncer's settings and the components that it works with.
 type Config struct {
 	Host identifier.Host
 	Zone identifier.AvailabilityZone
-	// Address is this daemon's own.
+	// Address is this daemon's own peer address, as IP:port.
 	Address string
-	// Roster knows the daemons, Relaying tells whether this one relays.
+	// Roster keeps the daemons of the fleet. Relaying reports whether this daemon is a relay.
 	Roster   *roster.Roster
 	Relaying func() bool
-	// LargeFleet tells that the fleet is too large for all pairs to swap.
+	// LargeFleet reports whether the fleet is too large for all pairs to swap.
 	LargeFleet func() bool
 	// BuildDigest builds this daemon's digest for a receiver.
-	BuildDigest     func(to Receiver) *rpc.Digest
-	Gatherer *gatherer.Gatherer
-	// OnDigest is told of each new digest of another daemon, Noted of each note.
+	BuildDigest func(to Receiver) *rpc.Digest
+	Gatherer    *gatherer.Gatherer
+	// OnDigest is called with each new digest of another daemon, OnNote with each note.
 	OnDigest func(*rpc.Digest)
-	OnNote func(*rpc.Note)
+	OnNote   func(*rpc.Note)
 	// BuildNote builds this daemon's note.
-	BuildNote   func() *rpc.Note
-	Client *http.Client
-	Logger *log.Logger
+	BuildNote func() *rpc.Note
+	Client    *http.Client
+	Logger    *log.Logger
 }
 
 // Syncer exchanges digests. It is safe for concurrent use.
 type Syncer struct {
 	c       Config
 	started time.Time
-	// hurry asks for notes: to all whom this daemon tells, or to some.
-	hurry chan bool
+	// notesRequested requests notes: true to all receivers, false to some of them.
+	notesRequested chan bool
 
 	mu sync.Mutex
-	// calls are by address.
-	calls map[string]*call
+	// peers holds the state of calls, by address.
+	peers map[string]*peerState
 	round int
 }
 
-// call is what is kept of a peer for the next call to it.
-type call struct {
+// peerState is what the syncer keeps of a peer for the next call to it.
+type peerState struct {
 	to   Receiver
 	busy bool
-	// next is when it is due, in a large fleet.
+	// next is when the next call is due, in a large fleet.
 	next time.Time
 }
 
 var _ suture.Service = (*Syncer)(nil)
 
-// New returns a swapper that knows no peers.
+// New returns a syncer that has called no peer.
 func New(c Config) *Syncer {
-	return &Syncer{c: c, calls: make(map[string]*call), hurry: make(chan bool, 1), started: time.Now()}
+	return &Syncer{c: c, peers: make(map[string]*peerState), notesRequested: make(chan bool, 1), started: time.Now()}
 }
 
-// TriggerNotes sends notes soon, as there is news: to all whom this daemon tells, or only to some
-// of them, from a daemon that heard of it from a peer itself. Whoever has the news first
-// may not know all the others, and a note may be lost.
+// TriggerNotes makes Serve send notes soon, as there is a change. With all set they go to all
+// receivers, otherwise to some of them: a daemon that learned of the change from a peer forwards
+// it so, since the first one may not know all daemons, and a note may be lost.
 func (s *Syncer) TriggerNotes(all bool) {
 	select {
-	case s.hurry <- all:
+	case s.notesRequested <- all:
 	default:
 	}
 }
 
-// ForwardFanOut is how many peers get news at second hand: three spread it to sixty
-// daemons in four steps.
+// ForwardFanOut is how many peers a change is forwarded to by a daemon that learned of it from a
+// peer. Three spread it to sixty daemons in four steps.
 const ForwardFanOut = 3
 
-// SendNote sends this daemon's note to some addresses now.
+// SendNote sends this daemon's note to some addresses now, without waiting for the result.
 func (s *Syncer) SendNote(ctx context.Context, addresses []string) {
 	for _, address := range addresses {
-		go s.notice(ctx, address)
+		go s.notify(ctx, address)
 	}
 }
 
-// audience returns the peers that get notes. In a large fleet those are the relays, and
-// from a relay the daemons of its zone: so that no daemon calls more than a zone and the
-// relays of the others for one change.
-func (s *Syncer) audience(all bool) []string {
+// noteReceivers returns the addresses that get notes. In a large fleet these are the relays of
+// the zone. A relay adds the daemons of its zone and, with all set, the relays of the other
+// zones; any other daemon adds a sample of the live daemons. So for one change no daemon calls
+// more than its zone and the relays of the others.
+func (s *Syncer) noteReceivers(all bool) []string {
 	now := time.Now()
 	if !s.c.LargeFleet() {
-		return some(s.LiveAddresses(), all)
+		return allOrSample(s.LiveAddresses(), all)
 	}
 	var out []string
 	for _, d := range s.c.Roster.Relays(s.c.Zone, now) {
 		out = append(out, d.Address)
 	}
 	if !s.c.Relaying() {
-		return append(out, some(s.LiveAddresses(), false)...)
+		return append(out, allOrSample(s.LiveAddresses(), false)...)
 	}
 	if all {
 		for _, zone := range s.c.Roster.Zones() {
@@ -174,13 +171,13 @@
 			out = append(out, d.Address)
 		}
 	}
-	// The other relays of the zone are among its daemons.
+	// The other relays of the zone are also among its daemons.
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
-// some returns all of a list, or up to Forward of it at random.
-func some(list []string, all bool) []string {
+// allOrSample returns all of a list, or up to [ForwardFanOut] entries at random.
+func allOrSample(list []string, all bool) []string {
 	if all || len(list) <= ForwardFanOut {
 		return list
 	}
@@ -188,9 +185,9 @@
 	return list[:ForwardFanOut]
 }
 
-// Serve swaps until ctx ends.
+// Serve swaps digests and sends notes until ctx ends, and returns its error.
 func (s *Syncer) Serve(ctx context.Context) error {
-	slots := make(chan struct{}, parallel)
+	slots := make(chan struct{}, maxParallelCalls)
 	each := func(addresses []string, call func(context.Context, string)) {
 		for _, address := range addresses {
 			select {
@@ -213,28 +210,28 @@
 			addresses, pause := s.due()
 			each(addresses, s.swap)
 			next = time.Now().Add(pause)
-		case all := <-s.hurry:
-			each(s.audience(all), s.notice)
-			waiter.For(ctx, leastPause)
-			// Once more: a link may lose the first, and a digest comes late.
-			each(s.audience(all), s.notice)
+		case all := <-s.notesRequested:
+			each(s.noteReceivers(all), s.notify)
+			waiter.For(ctx, notePause)
+			// Send the notes twice: a link may lose the first, and the next digest comes late.
+			each(s.noteReceivers(all), s.notify)
 		}
 		timer.Stop()
 	}
 	return ctx.Err()
 }
 
-// MaxDigestAge is how old the news of a peer may get.
+// MaxDigestAge returns how old the digest of a live peer may get.
 func (s *Syncer) MaxDigestAge() time.Duration {
 	if s.c.LargeFleet() {
-		return largeAge
+		return largeFleetDigestAge
 	}
-	return smallAge
+	return smallFleetDigestAge
 }
 
-// notice sends a peer this daemon's note. A note that is lost is made up for by
-// the next digest.
-func (s *Syncer) notice(ctx context.Context, address string) {
+// notify sends this daemon's note to a peer. A peer that misses it learns of the change from the
+// next digest.
+func (s *Syncer) notify(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := rpc.NewFleetProtobufClient("http://"+address, s.c.Client).Notice(ctx, s.c.BuildNote()); err != nil {
@@ -242,37 +239,38 @@
 	}
 }
 
+// swap exchanges digests with the peer at an address.
 func (s *Syncer) swap(ctx context.Context, address string) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	d, err := rpc.NewFleetProtobufClient("http://"+address, s.c.Client).Swap(ctx, s.c.BuildDigest(s.receiver(address)))
 	s.mu.Lock()
-	if c := s.calls[address]; c != nil {
+	if c := s.peers[address]; c != nil {
 		c.busy = false
 	}
 	s.mu.Unlock()
 	if err != nil {
 		now := time.Now()
 		if lost, news := s.c.Roster.RecordFailure(address, now); news {
-			s.c.Logger.Warn("peer lost", "peer", lost.Host, "address", address, "silent_ms", now.Sub(lost.AnsweredAt).Milliseconds(), "error", err)
+			s.c.Logger.Warn("peer unreachable", "peer", lost.Host, "address", address, "silent_ms", now.Sub(lost.AnsweredAt).Milliseconds(), "error", err)
 		}
 		return
 	}
 	s.merge(d, address)
 }
 
-// receiver is whom a call to an address reaches, as far as it is known.
+// receiver returns what is known of the daemon at an address.
 func (s *Syncer) receiver(address string) Receiver {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if c := s.calls[address]; c != nil {
+	if c := s.peers[address]; c != nil {
 		return c.to
 	}
 	return Receiver{Address: address}
 }
 
-// receiverOf is the daemon that told a digest.
-func receiverOf(d *rpc.Digest, address string) Receiver {
+// receiverFrom returns the sender of a digest as a receiver.
+func receiverFrom(d *rpc.Digest, address string) Receiver {
 	return Receiver{
 		Host: identifier.Host(d.GetHost()), Zone: identifier.AvailabilityZone(d.GetAvailabilityZone()), Address: address,
 		Relaying: d.GetRelaying(), HoldsDuties: d.GetHoldsDuties(), KnownRosterHashes: d.GetRosterKnown(),
@@ -280,31 +278,32 @@
 	}
 }
 
-// merge takes in a digest that came from, or leads to, an address.
+// merge merges the digest of the daemon at an address, which has called or answered.
 func (s *Syncer) merge(d *rpc.Digest, address string) {
 	now := time.Now()
 	if s.c.Roster.RecordAnswer(d, address, now) {
-		s.c.Logger.Info("peer regained", "peer", d.GetHost(), "address", address)
+		s.c.Logger.Info("peer reachable again", "peer", d.GetHost(), "address", address)
 	}
 	s.mu.Lock()
-	s.call(address).to = receiverOf(d, address)
+	s.peerState(address).to = receiverFrom(d, address)
 	s.mu.Unlock()
 	if s.c.Gatherer.Merge(d, now) {
 		s.c.OnDigest(d)
 	}
 }
 
-// call returns what is kept of a peer. The caller holds the lock.
-func (s *Syncer) call(address string) *call {
-	c := s.calls[address]
+// peerState returns the state of a peer, which it creates if there is none. The caller holds the
+// lock.
+func (s *Syncer) peerState(address string) *peerState {
+	c := s.peers[address]
 	if c == nil {
-		c = &call{to: Receiver{Address: address}}
-		s.calls[address] = c
+		c = &peerState{to: Receiver{Address: address}}
+		s.peers[address] = c
 	}
 	return c
 }
 
-// LiveAddresses returns the addresses of daemons that live.
+// LiveAddresses returns the addresses of the live daemons, in no order.
 func (s *Syncer) LiveAddresses() []string {
 	var out []string
 	for _, d := range s.c.Roster.LiveDaemons(time.Now()) {
@@ -313,7 +312,7 @@
 	return out
 }
 
-// KnownAddresses returns all addresses, best first: those that answered lately.
+// KnownAddresses returns the addresses of all known daemons, the live ones first.
 func (s *Syncer) KnownAddresses() []string {
 	now := time.Now()
 	var out, rest []string
@@ -327,13 +326,13 @@
 	return append(out, rest...)
 }
 
-// Swap answers a peer's call.
+// Swap merges a peer's digest and returns this daemon's. It implements rpc.Fleet.
 func (s *Syncer) Swap(_ context.Context, d *rpc.Digest) (*rpc.Digest, error) {
 	s.merge(d, d.GetAddress())
-	return s.c.BuildDigest(receiverOf(d, d.GetAddress())), nil
+	return s.c.BuildDigest(receiverFrom(d, d.GetAddress())), nil
 }
 
-// Notice takes in a peer's note.
+// Notice hands a peer's note to OnNote. It implements rpc.Fleet.
 func (s *Syncer) Notice(_ context.Context, n *rpc.Note) (*rpc.NoteReply, error) {
 	s.c.OnNote(n)
 	return &rpc.NoteReply{}, nil
