--- a/internal/peer/signer/signer.go
+++ b/internal/peer/signer/signer.go
@@ -1,14 +1,11 @@
 // Package signer authenticates calls between the system's processes.
 //
-// # What it guards against
-//
-// Anyone who reaches a peer's port could otherwise declare an endpoint
-// leaving or hand over a configuration. A [Signer] signs each call with a
-// shared key over its path, its body, the address it is meant for, the time
-// and a random nonce. A receiver refuses calls that are unsigned, older than
-// the window, meant for another address, or seen before; a replayed call
-// therefore changes nothing. Answers are signed over the call's nonce, so
-// that an old answer cannot stand for a new one.
+// Without it, anyone who reaches a peer's port could declare an endpoint leaving or hand over a
+// configuration. A [Signer] signs each call with a shared key over its path, its body, the
+// address it is meant for, the time and a random nonce. A receiver refuses calls that are
+// unsigned, older than the window, meant for another address, or seen before, so a replayed call
+// changes nothing. Answers are signed over the call's nonce, so that an old answer can't replace
+// a new one.
 //
 // # Usage
 //
@@ -16,8 +13,8 @@
 //	server.Handler = s.Verify(twirpHandler)
 //	client := &http.Client{Transport: s.Sign(transport)}
 //
-// The window tolerates clocks that differ by up to [Window]; beyond it peers
-// refuse each other and say so.
+// Clocks may differ by up to [Window]. Peers whose clocks differ by more refuse each other's
+// calls.
 package signer
 
 import (
@@ -40,31 +37,30 @@
 )
 
 const (
-	// Window is how old a call may be.
+	// Window is how far the time of a call may be from the receiver's clock.
 	Window = 30 * time.Second
 
 	scheme     = "Peer"
 	nonceBytes = 12
 	macBytes   = 16
 	maxMessage = 8 << 20
-	// maxNonces bounds the memory of nonces in each half of the window; at
-	// the limit calls are refused, since forgetting one would allow replay.
+	// maxNonces bounds the nonces kept in each of the two sets. At the limit calls are refused,
+	// since forgetting a nonce would allow a replay.
 	maxNonces = 1 << 16
 
 	answerHeader = "Peer-Signature"
 )
 
-// Config holds the key shared by all processes of one system.
+// Config holds the key shared by all processes of the system.
 type Config struct {
 	Key  []byte
 	Host identifier.Host
-	// Addresses are those under which this process may be called, as IP:port.
-	// A call signed for another process is refused, so that it cannot be
-	// replayed here.
+	// Addresses are those under which this process may be called, as IP:port. A call signed for
+	// another process is refused, so that it can't be replayed here.
 	Addresses []string
 }
 
-// Signer signs and verifies. Use New.
+// Signer signs and verifies calls. It is safe for concurrent use. Use New.
 type Signer struct {
 	c Config
 
@@ -81,13 +77,13 @@
 
 type hostKey struct{}
 
-// Caller returns the host that signed a verified call.
+// Caller returns the host that signed a verified call, or "" outside of one.
 func Caller(ctx context.Context) identifier.Host {
 	host, _ := ctx.Value(hostKey{}).(identifier.Host)
 	return host
 }
 
-// credentials are what the Authorization header of a call carries.
+// credentials are the content of a call's Authorization header.
 type credentials struct {
 	host  string
 	at    string
@@ -136,7 +132,7 @@
 
 var _ http.RoundTripper = (*transport)(nil)
 
-// RoundTrip signs one call; an answer without valid signature is an error.
+// RoundTrip signs and sends a call. An answer without a valid signature is an error.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -150,7 +146,8 @@
 	c.mac = t.s.callMAC(&c, r.URL.Host, r.URL.Path, body)
 	signed := r.Clone(r.Context())
 	signed.Header.Set("Authorization", c.header())
-	// Each byte of a message counts against the bound on control traffic.
+	// Receivers don't need these headers, and each byte counts against the bound on control
+	// traffic.
 	signed.Header.Set("User-Agent", "")
 	signed.Header.Del("Twirp-Version")
 	signed.Body = io.NopCloser(bytes.NewReader(body))
@@ -176,7 +173,8 @@
 	return resp, nil
 }
 
-// Verify returns a handler that lets only fresh, signed calls through.
+// Verify returns a handler that passes on only signed calls that are recent and new. It answers
+// others with status 401, and bodies that are cut or too large with 400.
 func (s *Signer) Verify(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
@@ -185,7 +183,7 @@
 			return
 		}
 		c, ok := parse(r.Header.Get("Authorization"))
-		if !ok || !s.genuine(&c, r, body) {
+		if !ok || !s.authentic(&c, r, body) {
 			http.Error(w, "not authenticated", http.StatusUnauthorized)
 			return
 		}
@@ -198,7 +196,8 @@
 	})
 }
 
-func (s *Signer) genuine(c *credentials, r *http.Request, body []byte) bool {
+// authentic reports whether a call is signed for this process, within the window and new.
+func (s *Signer) authentic(c *credentials, r *http.Request, body []byte) bool {
 	want := s.callMAC(c, r.Host, r.URL.Path, body)
 	if !slices.Contains(s.c.Addresses, r.Host) || !hmac.Equal([]byte(want), []byte(c.mac)) {
 		return false
@@ -211,13 +210,13 @@
 	if age := now.Sub(time.UnixMilli(milli)); age > Window || age < -Window {
 		return false
 	}
-	return s.fresh(c.nonce, now)
+	return s.recordNonce(c.nonce, now)
 }
 
-// fresh records a nonce and tells whether it is new. A call's time may lie up
-// to a window ahead, so a nonce is remembered for two windows: it is kept in
-// recent for one to two of them and then in older for as long again.
-func (s *Signer) fresh(nonce string, now time.Time) bool {
+// recordNonce records a nonce and reports whether it is new. The time of a call may be up to a
+// window ahead, so a nonce has to be kept for two windows: recent holds it for up to two
+// windows, older for two more.
+func (s *Signer) recordNonce(nonce string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if now.Sub(s.rotated) > 2*Window {
@@ -232,15 +231,15 @@
 	return true
 }
 
-// buffer holds an answer back until it can be signed.
+// buffer holds an answer back until it is signed.
 type buffer struct {
 	http.ResponseWriter
 	status int
 	body   bytes.Buffer
 }
 
-// WriteHeader notes the status.
+// WriteHeader records the status.
 func (b *buffer) WriteHeader(status int) { b.status = status }
 
-// Write collects the body.
+// Write buffers the body.
 func (b *buffer) Write(p []byte) (int, error) { return b.body.Write(p) }
