--- a/internal/peer/gatherer/gatherer.go
+++ b/internal/peer/gatherer/gatherer.go
@@ -1,11 +1,9 @@
 // Package gatherer keeps the newest digest of every daemon.
 //
-// # What a digest replaces
-//
-// A digest is known by host and incarnation; a higher sequence replaces a
-// lower one, so digests may come late, twice or in any order. The digests of
-// an earlier incarnation stay for [memory]: what a killed process counted
-// still belongs into the reports of its windows.
+// Digests are kept by host and incarnation. A digest replaces one with a lower sequence number,
+// so digests may arrive late, twice or in any order. The digests of earlier incarnations are
+// kept for [retention], since the requests that an ended process counted belong in the reports
+// of its usage windows.
 //
 // # Usage
 //
@@ -22,17 +20,16 @@
 )
 
 const (
-	// memory outlasts the time until a window of usage is reported (15 s).
-	memory = 40 * time.Second
-	// maxEntries bounds what is kept: several incarnations of each of a few
-	// hundred daemons.
+	// retention is longer than the time until a usage window is reported (15 s).
+	retention = 40 * time.Second
+	// maxEntries leaves room for several incarnations of each of a few hundred daemons.
 	maxEntries = 1024
 )
 
-// Entry is a digest with the time at which it came.
+// Entry is a digest with the time at which it was received.
 type Entry struct {
-	Digest *rpc.Digest
-	ReceivedAt  time.Time
+	Digest     *rpc.Digest
+	ReceivedAt time.Time
 }
 
 type key struct {
@@ -40,14 +37,15 @@
 	incarnation uint64
 }
 
-// Gatherer holds digests. The zero value holds none; it is safe for concurrent
+// Gatherer keeps digests. The zero value is empty and ready to use; it is safe for concurrent
 // use.
 type Gatherer struct {
 	mu      sync.Mutex
 	entries map[key]Entry
 }
 
-// Merge takes in a digest and reports whether it was news.
+// Merge adds a digest and reports whether it was newer than what was kept. It drops digests of
+// new daemons when it is full.
 func (g *Gatherer) Merge(d *rpc.Digest, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -63,13 +61,14 @@
 	return true
 }
 
-// Entries returns what was heard within memory, earlier incarnations too.
+// Entries returns the digests received in the last 40 s, earlier incarnations included, in no
+// order.
 func (g *Gatherer) Entries(now time.Time) []Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := make([]Entry, 0, len(g.entries))
 	for k, e := range g.entries {
-		if now.Sub(e.ReceivedAt) > memory {
+		if now.Sub(e.ReceivedAt) > retention {
 			delete(g.entries, k)
 			continue
 		}
@@ -78,7 +77,8 @@
 	return out
 }
 
-// Latest returns the newest incarnation of each host.
+// Latest returns the digest of the newest incarnation of each host, out of those of the last
+// 40 s.
 func (g *Gatherer) Latest(now time.Time) map[identifier.Host]Entry {
 	out := make(map[identifier.Host]Entry)
 	for _, e := range g.Entries(now) {
--- a/internal/peer/meter/meter.go
+++ b/internal/peer/meter/meter.go
@@ -1,10 +1,8 @@
 // Package meter counts the bytes of connections between peers.
 //
-// # Why it stands at the connection
-//
-// The bound on control traffic is on bytes that leave and reach the host.
-// Counting messages would miss headers and signatures, which outweigh a short
-// message.
+// It counts on the connection because the bound on control traffic is on bytes that leave and
+// reach the host. Counting messages would miss headers and signatures, which are larger than a
+// short message.
 //
 // # Usage
 //
@@ -20,7 +18,7 @@
 	"sync/atomic"
 )
 
-// Meter counts bytes. The zero value is ready.
+// Meter counts bytes. The zero value is ready to use; it is safe for concurrent use.
 type Meter struct {
 	in  atomic.Int64
 	out atomic.Int64
@@ -29,10 +27,10 @@
 // Bytes returns the bytes read and written so far.
 func (m *Meter) Bytes() (in, out int64) { return m.in.Load(), m.out.Load() }
 
-// Listen counts the connections that a listener accepts.
+// Listen returns a listener that counts the bytes of the connections it accepts.
 func (m *Meter) Listen(l net.Listener) net.Listener { return &listener{l, m} }
 
-// Dial counts the connections that a dialer makes.
+// Dial returns a dial function that counts the bytes of the connections next makes.
 func (m *Meter) Dial(next func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		c, err := next(ctx, network, address)
@@ -48,7 +46,7 @@
 	m *Meter
 }
 
-// Accept returns the next connection, counted.
+// Accept returns the next connection, with its bytes counted.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -62,14 +60,14 @@
 	m *Meter
 }
 
-// Read counts what it reads.
+// Read reads and counts the bytes.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.m.in.Add(int64(n))
 	return n, err
 }
 
-// Write counts what it writes.
+// Write writes and counts the bytes.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.m.out.Add(int64(n))
