--- a/internal/peer/aggregator/aggregator.go
+++ b/internal/peer/aggregator/aggregator.go
@@ -1,34 +1,30 @@
-// Package aggregator sums what the daemons of a large fleet tell of themselves.
+// Package aggregator sums the digests of the daemons of a large fleet.
 //
-// # Why
+// If each daemon sends each other one what it charges, demands and sends to endpoints, the cost
+// grows with the square of the fleet: with 195 daemons digests were 6 to 13 s old, and a run of
+// 80 s took 0.04 of a core a daemon. All that readers need are sums. So a few relays of each
+// availability zone receive the digests of its daemons, send the relays of the other zones the
+// sum of their zone, and send each daemon of their own zone the sum of all others.
 //
-// Where each daemon tells each other one what it charges, demands and sends to
-// endpoints, the cost grows with the square of the fleet: with 195 daemons news was
-// 6 to 13 s old, and a whole run of 80 s took 0.04 of a core a daemon. All that readers
-// need are sums. So a few relays of each availability zone hear its daemons, tell the
-// relays of the other zones the zone's sum, and tell the daemons of their own zone the
-// sum of all others.
+// Charges are sent as running totals. A relay adds up what each process of its zone has charged
+// since the relay first heard it, so its totals only rise. Digests that are not newer than the
+// last one of the same process are ignored. So digests that are late, doubled or reordered
+// change nothing.
 //
-// # Sums that can be told twice
-//
-// What is charged is told as a running total. A relay adds up what each process of its
-// zone charged since it heard it first; the total of a relay only rises, and news of a
-// process or a relay that is not newer than what was heard of it before is left out. So
-// news that is late, doubled or reordered changes nothing.
-//
-// Several relays sum the same zone. They are never added to each other: a reader follows
-// one of them, the first by rank that was heard lately and knows the zone, and notes where
-// the totals of the others stood at each of its news. When that one falls silent, the
-// next goes on from the noted place. A relay that was paused, or that hears only a part
-// of its zone, is passed over until it knows as much as the others.
+// Several relays sum the same zone, and their sums are never added to each other. A reader
+// follows one relay, the primary: the first by rank that was heard lately and hears enough of
+// the zone. At each update of the primary the reader marks the totals of the other relays. When
+// the primary falls silent, the reader continues with the next relay from its mark. A relay that
+// was paused, or that hears only a part of its zone, is not followed until it hears as much as
+// the others.
 //
 // # Usage
 //
 //	a := aggregator.New(aggregator.Config{Host: "front-1", Zone: "a", Start: time.Now()})
-//	a.Own(digest, now)
-//	update, news := a.Hear(digest, relaying, now)
-//	digest.Summary = a.Zone(now) // to relays of other zones
-//	digest.Summary = a.Rest(receiver, now) // to daemons of the own zone
+//	a.ApplyOwn(digest, now)
+//	update, news := a.Merge(digest, relaying, now)
+//	digest.Summary = a.ZoneSum(now) // to relays of other zones
+//	digest.Summary = a.FleetSumExcept(receiver, now) // to daemons of the own zone
 package aggregator
 
 import (
@@ -40,80 +36,82 @@
 )
 
 const (
-	// silentAfter is when a daemon that is not heard counts as silent: it may be cut off
-	// and still serve. forgetAfter is when it is taken for gone.
+	// silentAfter is the age of a daemon's last digest from which it counts as silent: it may be
+	// cut off and still serve. After forgetAfter it counts as gone.
 	silentAfter = 3 * time.Second
 	forgetAfter = 30 * time.Second
-	// joining is the age up to which all that a process charged since its start counts when
-	// it is heard first. What an older one charged was heard by others, and is in the
-	// buckets or has been given back to them.
-	joining = 5 * time.Second
-	// sumAge is how old a sum may be that is told: dozens of daemons ask within it.
-	sumAge = 100 * time.Millisecond
-	// mostDaemons bounds the daemons of a zone that are summed, mostZones the zones.
-	mostDaemons = 1024
-	mostZones   = 256
+	// joinAge is the age of a process up to which all that it has charged since its start counts
+	// when it is first heard. Charges of an older process were heard by others, and are already
+	// in the buckets or have been given back to them.
+	joinAge = 5 * time.Second
+	// maxSumAge is how long sums are reused: dozens of daemons ask for them within it.
+	maxSumAge = 100 * time.Millisecond
+	// maxDaemons bounds the daemons of a zone that are summed, maxZones the zones.
+	maxDaemons = 1024
+	maxZones   = 256
 )
 
-// Config names the daemon.
+// Config identifies the daemon. Start is when its process started.
 type Config struct {
 	Host  identifier.Host
 	Zone  identifier.AvailabilityZone
 	Start time.Time
 }
 
-// Account is what some daemons charged an organisation.
+// Account is what one or more daemons charged an organisation.
 type Account struct {
-	// Total is what was charged since they were heard first, Level the teller's estimate
-	// of what is left of the fleet's quota, RequestRate what is asked for in a second.
-	// NoLevel: it has none.
+	// Total is what was charged since the daemons were first heard, Level the sender's estimate
+	// of what is left of the fleet's quota, RequestRate what is requested per second, all in
+	// tokens of the quota's token bucket. NoLevel means that the sender has no estimate.
 	Total, Level, RequestRate float64
-	NoLevel             bool
+	NoLevel                   bool
 }
 
-// Update is news of one daemon, or of several together.
+// Update is a change in the accounts of one daemon or of a group of daemons.
 type Update struct {
-	// Name is the daemon's host, or names the group.
+	// Name is the daemon's host, or "zone/" with a zone's name, or "fleet/rest" for all other
+	// daemons of the fleet.
 	Name        identifier.Host
 	Incarnation uint64
-	// Age is the time since the teller's start; of a group it goes on when another tells.
+	// Age is the time since the daemon started. That of a group continues when another relay is
+	// followed.
 	Age             time.Duration
 	Daemons, Silent int
 	Accounts        map[identifier.Organisation]Account
 }
 
-// member is a daemon of the own zone.
+// member is a daemon of this daemon's zone.
 type member struct {
-	digest *rpc.Digest
-	heard  time.Time
-	// last is what was told last, counted what of it is in the zone's total, and base
-	// what of that had been counted when this daemon began to follow members.
+	digest  *rpc.Digest
+	heardAt time.Time
+	// last holds the totals that the daemon sent last, counted its part of the zone's totals,
+	// and base the value of counted from which updates start.
 	last, counted, base map[string]float64
-	// rebase: base is what is counted at the next update.
+	// rebase means that the next update sets base to counted.
 	rebase bool
 }
 
-// Aggregator sums. It is safe for concurrent use.
+// Aggregator sums digests. It is safe for concurrent use.
 type Aggregator struct {
 	c Config
 
 	mu      sync.Mutex
 	members map[identifier.Host]*member
 	zones   map[identifier.AvailabilityZone]*group
-	// rest is all of the fleet but this daemon, as relays of the own zone tell it.
+	// rest is the whole fleet except this daemon, as summed by relays of its zone.
 	rest group
-	// totals are those of the own zone.
+	// totals are the charges of this daemon's zone, by organisation.
 	totals map[string]float64
-	// zone and whole are the last sums of the own zone and of the fleet.
-	zone, whole *sums
-	summed      time.Time
-	// told: an update was given.
-	told bool
-	// refused counts what was left out of messages.
-	refused int
+	// zoneSums and fleetSums are the last sums of this daemon's zone and of the fleet.
+	zoneSums, fleetSums *sums
+	summedAt            time.Time
+	// reported means that an update was returned.
+	reported bool
+	// rejected counts the items of messages that were left out.
+	rejected int
 }
 
-// New returns an aggregator that has heard nobody.
+// New returns an aggregator that has received no digest.
 func New(c Config) *Aggregator {
 	return &Aggregator{
 		c: c, members: make(map[identifier.Host]*member), zones: make(map[identifier.AvailabilityZone]*group),
@@ -121,74 +119,75 @@
 	}
 }
 
-// ApplyOwn takes in this daemon's own digest.
+// ApplyOwn merges this daemon's own digest.
 func (a *Aggregator) ApplyOwn(d *rpc.Digest, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.member(d, now)
+	a.mergeMember(d, now)
 }
 
-// Merge takes in another daemon's digest. It returns what is news of the accounts: of a
-// daemon of the own zone or of another zone to one that relays, of the rest of the fleet
-// to one that does not.
+// Merge merges another daemon's digest and returns the update of accounts that it brings, if
+// any. A relay gets updates of the daemons of its zone and of the other zones, any other daemon
+// gets updates of the rest of the fleet.
 func (a *Aggregator) Merge(d *rpc.Digest, relaying bool, now time.Time) (u Update, news bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	zone := identifier.AvailabilityZone(d.GetAvailabilityZone())
 	summary := d.GetRelaying() && d.GetSummary() != nil
 	if summary {
-		a.refused += clean(d.GetSummary())
+		a.rejected += dropInvalid(d.GetSummary())
 	}
 	switch {
 	case zone != a.c.Zone && summary:
 		g := a.zones[zone]
 		if g == nil {
-			if len(a.zones) >= mostZones {
-				a.refused++
+			if len(a.zones) >= maxZones {
+				a.rejected++
 				return Update{}, false
 			}
 			g = new(group)
 			a.zones[zone] = g
 		}
-		if news = g.hear(d, a.c.Start, now) && relaying; !news {
+		if news = g.merge(d, a.c.Start, now) && relaying; !news {
 			return Update{}, false
 		}
-		a.told = true
+		a.reported = true
 		return g.update("zone/" + identifier.Host(zone)), true
 	case zone != a.c.Zone:
 		return Update{}, false
 	}
-	m := a.member(d, now)
+	m := a.mergeMember(d, now)
 	if summary {
-		news = a.rest.hear(d, a.c.Start, now)
+		news = a.rest.merge(d, a.c.Start, now)
 	}
 	switch {
 	case relaying && m.digest == d:
-		a.told = true
+		a.reported = true
 		return m.update(), true
 	case !relaying && news:
-		a.told = true
+		a.reported = true
 		return a.rest.update("fleet/rest"), true
 	}
 	return Update{}, false
 }
 
-// TakeRejected returns how many items of messages were left out since the last call: no
-// numbers, negative, or more than a fleet could give.
+// TakeRejected returns how many items of messages were rejected since the last call: those that
+// are not a number, negative, or higher than a fleet can reach.
 func (a *Aggregator) TakeRejected() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	n := a.refused
-	a.refused = 0
+	n := a.rejected
+	a.rejected = 0
 	return n
 }
 
-// Rebase makes the accounts of each daemon and group start at zero again with its next news:
-// their reader has been told of the same daemons in another way, and has charged it.
+// Rebase makes the accounts of each daemon and group start at zero again with the next update.
+// It is called when this daemon becomes or ceases to be a relay: the reader has already charged
+// the same daemons by updates of the other kind.
 func (a *Aggregator) Rebase() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.told {
+	if !a.reported {
 		return
 	}
 	for _, m := range a.members {
@@ -200,22 +199,22 @@
 	a.rest.rebase = true
 }
 
-// member takes in what a daemon of the own zone tells.
-func (a *Aggregator) member(d *rpc.Digest, now time.Time) *member {
+// mergeMember merges the digest of a daemon of this daemon's zone.
+func (a *Aggregator) mergeMember(d *rpc.Digest, now time.Time) *member {
 	host := identifier.Host(d.GetHost())
 	m := a.members[host]
 	switch {
-	case m == nil && len(a.members) >= mostDaemons:
+	case m == nil && len(a.members) >= maxDaemons:
 		return &member{digest: new(rpc.Digest)}
 	case m == nil || d.GetIncarnation() > m.digest.GetIncarnation():
-		// What a former process of the host charged is no news to the new one, which is told
-		// what is left.
+		// The charges of the host's former process are in the quota levels that the new process
+		// was given, so they are not part of its updates.
 		var former map[string]float64
 		if m != nil {
 			former = m.counted
 		}
-		m = &member{last: make(map[string]float64), counted: copied(former), base: copied(former)}
-		if time.Duration(d.GetAgeMilli())*time.Millisecond > joining && host != a.c.Host {
+		m = &member{last: make(map[string]float64), counted: cloneOrNew(former), base: cloneOrNew(former)}
+		if time.Duration(d.GetAgeMilli())*time.Millisecond > joinAge && host != a.c.Host {
 			for _, c := range d.GetCharges() {
 				m.last[c.GetOrganisation()] = c.GetTotal()
 			}
@@ -226,8 +225,8 @@
 	}
 	for _, c := range d.GetCharges() {
 		_, known := a.totals[c.GetOrganisation()]
-		if !amount(c.GetTotal()) || !amount(c.GetAskedPerSecond()) || !known && len(a.totals) >= mostItems {
-			a.refused++
+		if !validAmount(c.GetTotal()) || !validAmount(c.GetAskedPerSecond()) || !known && len(a.totals) >= maxItems {
+			a.rejected++
 			continue
 		}
 		more := max(c.GetTotal()-m.last[c.GetOrganisation()], 0)
@@ -235,13 +234,14 @@
 		m.counted[c.GetOrganisation()] += more
 		a.totals[c.GetOrganisation()] += more
 	}
-	m.digest, m.heard = d, now
+	m.digest, m.heardAt = d, now
 	return m
 }
 
+// update returns the daemon's accounts as an update.
 func (m *member) update() Update {
 	if m.rebase {
-		m.base, m.rebase = copied(m.counted), false
+		m.base, m.rebase = cloneOrNew(m.counted), false
 	}
 	d := m.digest
 	return Update{
@@ -250,7 +250,7 @@
 	}
 }
 
-// accounts are charges as they are told, with the totals counted since a base.
+// accounts returns charges as accounts, with the totals counted since a base.
 func accounts(charges []*rpc.Charge, counted, base map[string]float64) map[identifier.Organisation]Account {
 	out := make(map[identifier.Organisation]Account, len(charges))
 	for _, c := range charges {
@@ -262,25 +262,25 @@
 	return out
 }
 
-// ZoneSum returns the sum of the own zone, this daemon included.
+// ZoneSum returns the sum of this daemon's zone, itself included. It may be up to 100 ms old.
 func (a *Aggregator) ZoneSum(now time.Time) *rpc.Summary {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sum(now)
-	return a.zone.message(nil)
+	a.refreshSums(now)
+	return a.zoneSums.message(nil)
 }
 
-// FleetSumExcept returns the sum of the fleet, this daemon included, without one daemon of the own
-// zone.
+// FleetSumExcept returns the sum of the fleet, this daemon included, except one daemon of its
+// zone. It may be up to 100 ms old.
 func (a *Aggregator) FleetSumExcept(without identifier.Host, now time.Time) *rpc.Summary {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.sum(now)
-	return a.whole.message(a.members[without])
+	a.refreshSums(now)
+	return a.fleetSums.message(a.members[without])
 }
 
-// Others returns the demands of all other daemons and what they send to each endpoint. A
-// relay sums it, another daemon has it from a relay.
+// Others returns the demands of all other daemons and what they send to each endpoint. A relay
+// sums them itself, any other daemon has them from a relay; they are empty if it hears none.
 func (a *Aggregator) Others(relaying bool, now time.Time) *rpc.Summary {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -290,36 +290,36 @@
 		}
 		return new(rpc.Summary)
 	}
-	a.sum(now)
-	return a.whole.message(a.members[a.c.Host])
+	a.refreshSums(now)
+	return a.fleetSums.message(a.members[a.c.Host])
 }
 
-// sum brings the sums up to date.
-func (a *Aggregator) sum(now time.Time) {
-	if a.whole != nil && now.Sub(a.summed) < sumAge {
+// refreshSums computes the sums anew if they are older than maxSumAge.
+func (a *Aggregator) refreshSums(now time.Time) {
+	if a.fleetSums != nil && now.Sub(a.summedAt) < maxSumAge {
 		return
 	}
-	a.summed = now
-	a.zone, a.whole = newSums(), newSums()
+	a.summedAt = now
+	a.zoneSums, a.fleetSums = newSums(), newSums()
 	for host, m := range a.members {
-		silent := now.Sub(m.heard)
+		silent := now.Sub(m.heardAt)
 		if silent > forgetAfter {
 			delete(a.members, host)
 			continue
 		}
-		for _, s := range []*sums{a.zone, a.whole} {
-			s.member(m, silent > silentAfter, host == a.c.Host)
+		for _, s := range []*sums{a.zoneSums, a.fleetSums} {
+			s.addMember(m, silent > silentAfter, host == a.c.Host)
 		}
 	}
 	for o, total := range a.totals {
-		a.zone.total(o, total)
-		a.whole.total(o, total)
+		a.zoneSums.addTotal(o, total)
+		a.fleetSums.addTotal(o, total)
 	}
 	for _, g := range a.zones {
-		if now.Sub(g.heard) > forgetAfter {
-			// Its relays are gone for good; its totals stay, as they only rise.
+		if now.Sub(g.heardAt) > forgetAfter {
+			// Its relays are gone. Its totals stay, as totals only rise.
 			g.sources = nil
 		}
-		a.whole.group(g, now)
+		a.fleetSums.addGroup(g, now)
 	}
 }
--- a/internal/peer/aggregator/aggregator_test.go
+++ b/internal/peer/aggregator/aggregator_test.go
@@ -13,23 +13,24 @@
 	"brasschute/internal/peer/rpc"
 )
 
-// desk is the organisation that the daemons charge.
+// desk is the organisation that all daemons charge.
 const desk = "desk"
 
-// daemon is one process of a test fleet. The first perZone living ones of a zone relay.
+// daemon is one process of a test fleet. The first perZone live daemons of a zone are its
+// relays.
 type daemon struct {
 	*Aggregator
-	host, zone string
-	life       uint64
-	sequence   uint64
-	born       time.Time
-	total      float64
-	dead       bool
-	// heard is what the others charged by its news, as its reader adds it up, by process;
-	// before what they had charged when it last began or ceased to relay.
-	heard  map[process]float64
-	before float64
-	relays bool
+	host, zone  string
+	incarnation uint64
+	sequence    uint64
+	startedAt   time.Time
+	total       float64
+	dead        bool
+	// receivedTotals is what other processes charged according to this daemon's updates.
+	// baseline is what the others had charged when it last became or ceased to be a relay.
+	receivedTotals map[process]float64
+	baseline       float64
+	wasRelay       bool
 }
 
 type process struct {
@@ -37,28 +38,30 @@
 	incarnation uint64
 }
 
+// fleet is a simulated fleet with its own clock.
 type fleet struct {
 	t       *rapid.T
 	now     time.Time
 	daemons []*daemon
-	// late are digests that come once more.
-	late []delivery
-	// gone is what processes charged that have ended.
-	gone float64
-	// disturbed is what was charged while a relay had ended or come back a moment ago; calm
-	// counts the rounds since.
-	disturbed float64
-	calm      int
+	// delivered holds digests that may be delivered a second time.
+	delivered []delivery
+	// endedTotal is what ended processes charged.
+	endedTotal float64
+	// disturbed is what was charged within settleRounds of the end or start of a process.
+	// calmRounds counts the rounds since the last one.
+	disturbed  float64
+	calmRounds int
 }
 
-// settled is after how many rounds all follow the relays that live.
-const settled = 6
+// settleRounds is the number of rounds after which all daemons follow live relays.
+const settleRounds = 6
 
-// delivery is a digest that a process got; the next one of its host does not get it.
+// delivery is a digest that a process received. It is not delivered to a later process of the
+// host.
 type delivery struct {
-	digest *rpc.Digest
-	to     *daemon
-	life   uint64
+	digest      *rpc.Digest
+	to          *daemon
+	incarnation uint64
 }
 
 const perZone = 2
@@ -76,11 +79,11 @@
 
 func (f *fleet) start(d *daemon) {
 	d.Aggregator = New(Config{Host: identifier.Host(d.host), Zone: identifier.AvailabilityZone(d.zone), Start: f.now})
-	d.life++
-	f.gone += d.total
-	d.sequence, d.born, d.total, d.dead = 0, f.now, 0, false
-	// What is left of the quotas it is told, or reads; what was charged before is in that.
-	d.heard, d.before, d.relays = make(map[process]float64), f.truth(d), f.relaying(d)
+	d.incarnation++
+	f.endedTotal += d.total
+	d.sequence, d.startedAt, d.total, d.dead = 0, f.now, 0, false
+	// A new process is given or reads the quota levels, which include all earlier charges.
+	d.receivedTotals, d.baseline, d.wasRelay = make(map[process]float64), f.charged(d), f.isRelay(d)
 }
 
 func (f *fleet) relays(zone string) (out []*daemon) {
@@ -92,7 +95,7 @@
 	return out
 }
 
-func (f *fleet) relaying(d *daemon) bool {
+func (f *fleet) isRelay(d *daemon) bool {
 	for _, r := range f.relays(d.zone) {
 		if r == d {
 			return true
@@ -101,19 +104,19 @@
 	return false
 }
 
-// digest is what a daemon tells another one.
+// digest returns what a daemon sends to another one.
 func (f *fleet) digest(d, to *daemon) *rpc.Digest {
 	d.sequence++
 	out := &rpc.Digest{
-		Host: d.host, AvailabilityZone: d.zone, Incarnation: d.life, Sequence: d.sequence, AgeMilli: f.now.Sub(d.born).Milliseconds(),
-		Relaying: f.relaying(d), Charges: []*rpc.Charge{{Organisation: desk, Total: d.total}},
+		Host: d.host, AvailabilityZone: d.zone, Incarnation: d.incarnation, Sequence: d.sequence, AgeMilli: f.now.Sub(d.startedAt).Milliseconds(),
+		Relaying: f.isRelay(d), Charges: []*rpc.Charge{{Organisation: desk, Total: d.total}},
 	}
 	d.ApplyOwn(out, f.now)
 	switch {
 	case !out.Relaying:
 	case to.zone != d.zone:
 		out.Summary = d.ZoneSum(f.now)
-	case !f.relaying(to):
+	case !f.isRelay(to):
 		out.Summary = d.FleetSumExcept(identifier.Host(to.host), f.now)
 	}
 	return out
@@ -123,27 +126,27 @@
 	if to.dead {
 		return
 	}
-	if relays := f.relaying(to); relays != to.relays {
-		to.before, to.heard, to.relays = to.others(), make(map[process]float64), relays
+	if relays := f.isRelay(to); relays != to.wasRelay {
+		to.baseline, to.receivedTotals, to.wasRelay = to.othersTotal(), make(map[process]float64), relays
 		to.Rebase()
 	}
-	if u, news := to.Merge(digest, f.relaying(to), f.now); news {
-		to.heard[process{u.Name, u.Incarnation}] = u.Accounts[desk].Total
+	if u, news := to.Merge(digest, f.isRelay(to), f.now); news {
+		to.receivedTotals[process{u.Name, u.Incarnation}] = u.Accounts[desk].Total
 	}
 }
 
-// swap makes two daemons tell each other; some digests come again later.
+// swap exchanges digests between two daemons, and keeps them for a second delivery.
 func (f *fleet) swap(a, b *daemon) {
 	if a.dead || b.dead || a == b {
 		return
 	}
 	first, second := f.digest(a, b), f.digest(b, a)
-	f.late = append(f.late, delivery{first, b, b.life}, delivery{second, a, a.life})
+	f.delivered = append(f.delivered, delivery{first, b, b.incarnation}, delivery{second, a, a.incarnation})
 	f.deliver(first, b)
 	f.deliver(second, a)
 }
 
-// round swaps as the daemons of a fleet do in a half second.
+// round makes the swaps that a fleet makes in half a second.
 func (f *fleet) round() {
 	for _, d := range f.daemons {
 		f.now = f.now.Add(time.Millisecond)
@@ -153,26 +156,27 @@
 	}
 	for _, a := range f.daemons {
 		for _, b := range f.daemons {
-			if a.zone < b.zone && f.relaying(a) && f.relaying(b) {
+			if a.zone < b.zone && f.isRelay(a) && f.isRelay(b) {
 				f.swap(a, b)
 			}
 		}
 	}
 	f.now = f.now.Add(500 * time.Millisecond)
-	f.calm++
+	f.calmRounds++
 }
 
-// others is what a daemon's reader has added up.
-func (d *daemon) others() float64 {
-	sum := d.before
-	for v := range maps.Values(d.heard) {
+// othersTotal is the sum of the charges that a daemon knows of.
+func (d *daemon) othersTotal() float64 {
+	sum := d.baseline
+	for v := range maps.Values(d.receivedTotals) {
 		sum += v
 	}
 	return sum
 }
 
-func (f *fleet) truth(without *daemon) float64 {
-	sum := f.gone
+// charged is the sum of all charges, without those of one daemon's live process.
+func (f *fleet) charged(without *daemon) float64 {
+	sum := f.endedTotal
 	for _, d := range f.daemons {
 		if d != without {
 			sum += d.total
@@ -181,31 +185,31 @@
 	return sum
 }
 
-// No daemon takes the others for having charged more than they did, whoever ends, comes
-// back, is late or told twice; and all know all once it is calm. One daemon of a zone ends
-// at a time, relays as well. Only what was charged while some followed a relay that had
-// just ended, or that knew less than the one before, may be missing, or counted twice on
-// each of the two ways that it takes: from a zone's relay to another one, and from there to
-// a daemon.
+// Whichever processes end and come back, and whichever digests are late or doubled, no daemon
+// may take the others to have charged more than they did, and after some rounds without change
+// all must know all charges. One daemon of a zone, possibly a relay, is down at a time. Only
+// charges made while some daemons followed a relay that had just ended, or that knew less than
+// the one before, may be missing, or count twice on each of their two steps: from a relay of one
+// zone to one of another, and from there to a daemon.
 func TestSumsNeverExceedWhatWasCharged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := newFleet(t, rapid.IntRange(2, 4).Draw(t, "zones"), rapid.IntRange(3, 5).Draw(t, "each"))
+		f := newFleet(t, rapid.IntRange(2, 4).Draw(t, "zones"), rapid.IntRange(3, 5).Draw(t, "daemons"))
 		for range 16 {
 			f.round()
 		}
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			for range rapid.IntRange(0, 5).Draw(t, "charges") {
-				f.charge(rapid.IntRange(0, len(f.daemons)-1).Draw(t, "who"), float64(rapid.IntRange(1, 1000).Draw(t, "charge")))
+				f.charge(rapid.IntRange(0, len(f.daemons)-1).Draw(t, "charging"), float64(rapid.IntRange(1, 1000).Draw(t, "charge")))
 			}
-			switch who := f.daemons[rapid.IntRange(0, len(f.daemons)-1).Draw(t, "victim")]; rapid.IntRange(0, 5).Draw(t, "fate") {
+			switch who := f.daemons[rapid.IntRange(0, len(f.daemons)-1).Draw(t, "daemon")]; rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
 				f.end(who)
 			case 1:
 				f.revive()
 			}
-			if len(f.late) > 0 && rapid.Bool().Draw(t, "late") {
-				l := f.late[rapid.IntRange(0, len(f.late)-1).Draw(t, "which")]
-				if l.life == l.to.life {
+			if len(f.delivered) > 0 && rapid.Bool().Draw(t, "late") {
+				l := f.delivered[rapid.IntRange(0, len(f.delivered)-1).Draw(t, "which")]
+				if l.incarnation == l.to.incarnation {
 					f.deliver(l.digest, l.to)
 				}
 			}
@@ -220,51 +224,53 @@
 	})
 }
 
+// charge makes a live daemon charge an amount.
 func (f *fleet) charge(who int, charge float64) {
 	d := f.daemons[who]
 	if d.dead {
 		return
 	}
 	d.total += charge
-	if f.calm < settled {
+	if f.calmRounds < settleRounds {
 		f.disturbed += charge
 	}
 }
 
-// end ends a process, after what it charged was told. One of a zone is dead at a time.
+// end ends a process after its charges were sent, unless a daemon of its zone is down already.
 func (f *fleet) end(d *daemon) {
 	for _, other := range f.daemons {
 		if other.zone == d.zone && other.dead {
 			return
 		}
 	}
-	for range settled {
+	for range settleRounds {
 		f.round()
 	}
-	d.dead, f.calm = true, 0
+	d.dead, f.calmRounds = true, 0
 }
 
-// revive starts new processes of those that have ended, once the others have noticed.
+// revive starts new processes for all that have ended, after the other daemons had time to
+// notice.
 func (f *fleet) revive() {
 	for _, d := range f.daemons {
 		if d.dead {
-			for range settled {
+			for range settleRounds {
 				f.round()
 			}
 			f.start(d)
-			f.calm = 0
-			f.calm = 0
+			f.calmRounds = 0
+			f.calmRounds = 0
 		}
 	}
 }
 
-// check compares what each daemon knows with what was charged: never more, and at least a
-// part of it.
+// check compares what each daemon knows with what was charged: never more, and at least the
+// fraction part of it.
 func (f *fleet) check(part float64) {
 	for _, d := range f.daemons {
-		known, truth := d.others(), f.truth(d)
+		known, truth := d.othersTotal(), f.charged(d)
 		if known > truth+3*f.disturbed+1e-6 || known < part*(truth-f.disturbed)-1e-6 || math.IsNaN(known) {
-			f.t.Fatalf("%s takes the others to have charged %.0f, they did %.0f, %.0f of it in disturbance; %v", d.host, known, truth, f.disturbed, d.heard)
+			f.t.Fatalf("%s knows of charges of %.0f, actual are %.0f, %.0f of them near a process change; %v", d.host, known, truth, f.disturbed, d.receivedTotals)
 		}
 	}
 }
--- a/internal/peer/aggregator/group.go
+++ b/internal/peer/aggregator/group.go
@@ -11,57 +11,60 @@
 )
 
 const (
-	// sourceSilence is when a reader goes on with another relay: a relay tells its news
-	// each 0.4 s.
-	sourceSilence = 1300 * time.Millisecond
-	// knowingPart of the daemons that another relay sums is what one must sum itself to
-	// be followed.
-	knowingPart = 0.5
-	// settleTime is for how long it must have done so: a relay that comes back after a cut
-	// catches up with what others have told long ago, which must not count as news.
-	settleTime = 2 * time.Second
-	// rateTime is the time over which a group's rates are measured.
-	rateTime = 2 * time.Second
+	// sourceTimeout is how long the primary is silent before another relay is followed. Relays
+	// send their sums each 0.4 s.
+	sourceTimeout = 1300 * time.Millisecond
+	// minCoverage is the part of the daemons heard by another relay that a relay must hear to be
+	// followed.
+	minCoverage = 0.5
+	// coverageTime is for how long it must have heard them. A relay that comes back after a
+	// partition catches up with charges that others have long reported, and these must not count
+	// again.
+	coverageTime = 2 * time.Second
+	// rateTimeConstant is the time constant of the averages of a group's rates.
+	rateTimeConstant = 2 * time.Second
 )
 
-// group is several daemons that relays sum up.
+// group is a number of daemons that relays sum.
 type group struct {
 	sources map[identifier.Host]*source
-	// primary is the relay that is followed, life its incarnation.
-	primary identifier.Host
-	life    uint64
-	// totals are what the group is known to have charged; base is where updates begin.
+	// primary is the relay that is followed, incarnation its process.
+	primary     identifier.Host
+	incarnation uint64
+	// totals are the known charges of the group, base is where updates start.
 	totals, base map[string]float64
-	// rates are what it charges in a second.
+	// rates are the averages of what the group charges per second.
 	rates map[string]float64
-	// rebase: base is what they are at the next update.
-	rebase bool
-	age    time.Duration
-	heard  time.Time
+	// rebase means that the next update sets base to totals.
+	rebase  bool
+	age     time.Duration
+	heardAt time.Time
 }
 
-// source is one relay's view of a group.
+// source is a group as one relay sums it.
 type source struct {
 	incarnation, sequence uint64
-	heard                 time.Time
+	heardAt               time.Time
 	age                   time.Duration
 	summary               *rpc.Summary
-	// totals are the relay's, marks where they stood at the last news of the primary;
-	// marks is nil if there was none since the relay was heard first.
+	// totals are the relay's, marks their values at the last update of the primary. marks is nil
+	// if there was no update since the relay was first heard.
 	totals, marks map[string]float64
-	// knowing is since when it has summed as many daemons as others do; zero if it does not.
-	knowing time.Time
+	// coveringSince is since when the relay has heard enough of the group's daemons; zero if it
+	// does not.
+	coveringSince time.Time
 }
 
-func copied(m map[string]float64) map[string]float64 {
+// cloneOrNew returns a copy of a map, or a new one for nil.
+func cloneOrNew(m map[string]float64) map[string]float64 {
 	if m == nil {
 		return make(map[string]float64)
 	}
 	return maps.Clone(m)
 }
 
-// hear takes in a relay's summary, and reports whether it is news of the group.
-func (g *group) hear(d *rpc.Digest, start, now time.Time) bool {
+// merge merges a relay's summary, and reports whether it is an update of the group.
+func (g *group) merge(d *rpc.Digest, start, now time.Time) bool {
 	host := identifier.Host(d.GetHost())
 	s := g.sources[host]
 	switch {
@@ -70,7 +73,7 @@
 		if g.sources == nil {
 			g.sources = make(map[identifier.Host]*source)
 		}
-		if len(g.sources) >= mostDaemons {
+		if len(g.sources) >= maxDaemons {
 			return false
 		}
 		g.sources[host] = s
@@ -79,33 +82,34 @@
 	}
 	before := s.totals
 	aged := time.Duration(d.GetAgeMilli())*time.Millisecond - s.age
-	s.take(d, now)
-	primary := g.choose(now)
+	s.apply(d, now)
+	primary := g.choosePrimary(now)
 	switch {
 	case primary != host && (primary != g.primary || g.primary == ""):
-		// Another one is followed from now on; its own news comes soon.
+		// Another relay is followed from now on; its own update comes soon.
 		g.follow(primary, start, now)
 		return true
 	case primary != host:
 		return false
-	case primary == g.primary && g.life == s.incarnation:
-		g.add(before, s.totals, now)
+	case primary == g.primary && g.incarnation == s.incarnation:
+		g.addIncrease(before, s.totals, now)
 		g.age += max(aged, 0)
 	default:
 		g.follow(primary, start, now)
 	}
-	g.heard = now
-	g.mark(now)
+	g.heardAt = now
+	g.markOthers(now)
 	return true
 }
 
-// mark notes where the totals of the other relays stand. Where one of them stands that has
-// been silent is not known: what it tells next would be counted from its last news.
-func (g *group) mark(now time.Time) {
+// markOthers marks the totals of the relays that are not followed. The current totals of a
+// silent relay are unknown, so it gets no mark: continued from its last totals, charges already
+// counted would count twice.
+func (g *group) markOthers(now time.Time) {
 	for host, s := range g.sources {
 		switch {
 		case host == g.primary:
-		case now.Sub(s.heard) > sourceSilence:
+		case now.Sub(s.heardAt) > sourceTimeout:
 			s.marks = nil
 		default:
 			s.marks = maps.Clone(s.totals)
@@ -113,9 +117,9 @@
 	}
 }
 
-// take takes in what a relay tells. Its totals only rise: less can't be true.
-func (s *source) take(d *rpc.Digest, now time.Time) {
-	s.sequence, s.heard, s.summary = d.GetSequence(), now, d.GetSummary()
+// apply takes over a relay's summary. Totals only rise, so lower ones are ignored.
+func (s *source) apply(d *rpc.Digest, now time.Time) {
+	s.sequence, s.heardAt, s.summary = d.GetSequence(), now, d.GetSummary()
 	s.age = time.Duration(d.GetAgeMilli()) * time.Millisecond
 	s.totals = maps.Clone(s.totals)
 	for _, c := range d.GetSummary().GetCharges() {
@@ -123,112 +127,112 @@
 	}
 }
 
-// choose picks the relay to follow: the first by rank that was heard lately and knows the
-// group, of those whose totals can be continued if there are any.
-func (g *group) choose(now time.Time) identifier.Host {
-	g.weigh(now)
-	best, rank, worth := identifier.Host(""), uint64(0), -1
+// choosePrimary returns the relay to follow: the first by rank that was heard lately and hears
+// enough of the group. Relays whose totals can be continued from a mark come first.
+func (g *group) choosePrimary(now time.Time) identifier.Host {
+	g.updateCoverage(now)
+	best, rank, bestPreference := identifier.Host(""), uint64(0), -1
 	for host, s := range g.sources {
-		if s.knowing.IsZero() {
+		if s.coveringSince.IsZero() {
 			continue
 		}
-		r, w := roster.Rank(host), 0
+		r, preference := roster.Rank(host), 0
 		switch {
-		case host == g.primary && s.incarnation == g.life, s.marks != nil && now.Sub(s.knowing) >= settleTime:
-			w = 2
+		case host == g.primary && s.incarnation == g.incarnation, s.marks != nil && now.Sub(s.coveringSince) >= coverageTime:
+			preference = 2
 		case s.marks != nil:
-			w = 1
+			preference = 1
 		}
-		if w > worth || w == worth && r < rank {
-			best, rank, worth = host, r, w
+		if preference > bestPreference || preference == bestPreference && r < rank {
+			best, rank, bestPreference = host, r, preference
 		}
 	}
 	return best
 }
 
-// weigh finds out which relays know the group.
-func (g *group) weigh(now time.Time) {
+// updateCoverage updates which relays hear enough of the group, and drops those that are gone.
+func (g *group) updateCoverage(now time.Time) {
 	most := uint32(0)
 	for host, s := range g.sources {
-		if now.Sub(s.heard) > forgetAfter {
+		if now.Sub(s.heardAt) > forgetAfter {
 			delete(g.sources, host)
-		} else if now.Sub(s.heard) <= sourceSilence {
-			most = max(most, known(s.summary))
+		} else if now.Sub(s.heardAt) <= sourceTimeout {
+			most = max(most, daemonsHeard(s.summary))
 		}
 	}
 	for _, s := range g.sources {
-		switch knows := now.Sub(s.heard) <= sourceSilence && float64(known(s.summary)) >= knowingPart*float64(most); {
-		case !knows:
-			s.knowing = time.Time{}
-		case s.knowing.IsZero():
-			s.knowing = now
+		switch covers := now.Sub(s.heardAt) <= sourceTimeout && float64(daemonsHeard(s.summary)) >= minCoverage*float64(most); {
+		case !covers:
+			s.coveringSince = time.Time{}
+		case s.coveringSince.IsZero():
+			s.coveringSince = now
 		}
 	}
 }
 
-// known is how many daemons a relay hears.
-func known(s *rpc.Summary) uint32 { return s.GetDaemons() - min(s.GetSilent(), s.GetDaemons()) }
+// daemonsHeard returns how many daemons a relay hears.
+func daemonsHeard(s *rpc.Summary) uint32 { return s.GetDaemons() - min(s.GetSilent(), s.GetDaemons()) }
 
-// follow goes on with another relay, or with a new process of the same one.
+// follow continues with another relay, or with a new process of the same one.
 func (g *group) follow(primary identifier.Host, start, now time.Time) {
 	s := g.sources[primary]
 	if s == nil {
 		return
 	}
 	switch {
-	case g.heard.IsZero():
+	case g.heardAt.IsZero():
 		g.age = s.age
-		if max(s.age, now.Sub(start)) < joining {
-			g.add(nil, s.totals, now)
+		if max(s.age, now.Sub(start)) < joinAge {
+			g.addIncrease(nil, s.totals, now)
 		}
 	case s.marks != nil:
-		g.add(s.marks, s.totals, now)
-		g.age += now.Sub(g.heard)
+		g.addIncrease(s.marks, s.totals, now)
+		g.age += now.Sub(g.heardAt)
 	default:
-		// Nobody knows what was charged in between: it is taken to have gone on as before,
-		// and to have faded as the rate's memory does.
-		gap := rateTime.Seconds() * (1 - math.Exp(-now.Sub(g.heard).Seconds()/rateTime.Seconds()))
+		// It is not known what was charged since the last update. The estimate is that the rates
+		// went on and faded with their time constant.
+		gap := rateTimeConstant.Seconds() * (1 - math.Exp(-now.Sub(g.heardAt).Seconds()/rateTimeConstant.Seconds()))
 		for o, rate := range g.rates {
 			g.totals[o] += rate * gap
 		}
-		g.age += now.Sub(g.heard)
+		g.age += now.Sub(g.heardAt)
 	}
 	if g.totals == nil {
 		g.totals, g.rates = make(map[string]float64), make(map[string]float64)
 	}
-	g.primary, g.life, g.heard = primary, s.incarnation, now
-	g.mark(now)
+	g.primary, g.incarnation, g.heardAt = primary, s.incarnation, now
+	g.markOthers(now)
 }
 
-// add takes what a relay's totals rose by for charged.
-func (g *group) add(before, after map[string]float64, now time.Time) {
+// addIncrease adds what a relay's totals rose by to the group's totals and rates.
+func (g *group) addIncrease(before, after map[string]float64, now time.Time) {
 	if g.totals == nil {
 		g.totals, g.rates = make(map[string]float64), make(map[string]float64)
 	}
-	passed := now.Sub(g.heard).Seconds()
-	part := 1 - math.Exp(-passed/rateTime.Seconds())
+	elapsed := now.Sub(g.heardAt).Seconds()
+	weight := 1 - math.Exp(-elapsed/rateTimeConstant.Seconds())
 	for o, total := range after {
-		more := max(total-before[o], 0)
-		g.totals[o] += more
-		if passed > 0 && !g.heard.IsZero() {
-			g.rates[o] += part * (more/passed - g.rates[o])
+		increase := max(total-before[o], 0)
+		g.totals[o] += increase
+		if elapsed > 0 && !g.heardAt.IsZero() {
+			g.rates[o] += weight * (increase/elapsed - g.rates[o])
 		}
 	}
 }
 
-// current is what the followed relay tells, nil if it has fallen silent.
+// current returns the last summary of the primary, nil if it is silent.
 func (g *group) current(now time.Time) *rpc.Summary {
 	s := g.sources[g.primary]
-	if s == nil || now.Sub(s.heard) > silentAfter {
+	if s == nil || now.Sub(s.heardAt) > silentAfter {
 		return nil
 	}
 	return s.summary
 }
 
-// update is news of the group.
+// update returns the group's accounts as an update.
 func (g *group) update(name identifier.Host) Update {
 	if g.rebase {
-		g.base, g.rebase = copied(g.totals), false
+		g.base, g.rebase = cloneOrNew(g.totals), false
 	}
 	u := Update{Name: name, Incarnation: 1, Age: g.age}
 	if s := g.sources[g.primary]; s != nil {
--- a/internal/peer/aggregator/invalid_test.go
+++ b/internal/peer/aggregator/invalid_test.go
@@ -8,13 +8,13 @@
 	"brasschute/internal/peer/rpc"
 )
 
-// A relay of a later version, or one that has gone wrong, tells sums that can't be true. Taken
-// for true, one of them would shut an organisation out of the whole fleet, or send all
-// requests to one endpoint; the rest of its message holds.
-func TestImpossibleSumsAreLeftOut(t *testing.T) {
+// A relay of a later version, or a faulty one, sends sums that can't be true. If they counted,
+// one of them could exhaust an organisation's quota in the whole fleet, or draw all requests to
+// one endpoint. The rest of the message still counts.
+func TestInvalidSumsAreRejected(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	a := New(Config{Host: "front-1", Zone: "a", Start: now.Add(-time.Minute)})
-	tell := func(sequence uint64, total float64) (Update, bool) {
+	merge := func(sequence uint64, total float64) (Update, bool) {
 		return a.Merge(&rpc.Digest{
 			Host: "front-2", AvailabilityZone: "b", Incarnation: 1, Sequence: sequence, AgeMilli: int64(sequence) * 1000, Relaying: true,
 			Summary: &rpc.Summary{
@@ -30,13 +30,13 @@
 			},
 		}, true, now)
 	}
-	tell(1, 1000)
+	merge(1, 1000)
 	if n := a.TakeRejected(); n != 6 {
-		t.Errorf("%d items refused, 6 are impossible", n)
+		t.Errorf("%d items rejected, 6 are invalid", n)
 	}
-	u, news := tell(2, 1500)
+	u, news := merge(2, 1500)
 	if !news || u.Accounts["desk"].Total != 500 || len(u.Accounts) != 1 || u.Silent > u.Daemons {
-		t.Errorf("the rest does not hold: %+v", u)
+		t.Errorf("the valid rest was not merged: %+v", u)
 	}
 	if loads := a.Others(true, now).GetLoads(); len(loads) != 1 || loads[0].GetEndpoint() != "i-2" {
 		t.Errorf("loads %v", loads)
--- a/internal/peer/aggregator/sums.go
+++ b/internal/peer/aggregator/sums.go
@@ -8,44 +8,46 @@
 )
 
 const (
-	// mostTotal is more tokens than a fleet charges in years, mostRunning more requests than
-	// it has under way, mostSummed more daemons than there are, mostItems more
+	// maxTotal is more tokens than a fleet charges in years, maxRunning more requests than it
+	// runs at a time. maxDaemonsSummed exceeds the number of daemons, maxItems that of
 	// organisations or endpoints.
-	mostTotal   = 1e15
-	mostRunning = 1 << 20
-	mostSummed  = 1 << 16
-	mostItems   = 8192
-	// leastLoading is the rate below which an endpoint's load is rounding.
-	leastLoading = 1e-9
+	maxTotal         = 1e15
+	maxRunning       = 1 << 20
+	maxDaemonsSummed = 1 << 16
+	maxItems         = 8192
+	// minLoadRate is the rate below which an endpoint's load is a rounding error.
+	minLoadRate = 1e-9
 )
 
-// amount tells whether a number may be a sum.
-func amount(v float64) bool { return v >= 0 && v <= mostTotal }
+// validAmount reports whether a number can be a sum.
+func validAmount(v float64) bool { return v >= 0 && v <= maxTotal }
 
-// clean leaves out of a summary what can't be true, and returns how many items.
-func clean(s *rpc.Summary) (refused int) {
-	if s.GetDaemons() > mostSummed || s.GetSilent() > s.GetDaemons() {
-		s.Daemons, s.Silent = min(s.GetDaemons(), mostSummed), min(s.GetSilent(), s.GetDaemons(), mostSummed)
+// dropInvalid removes the items of a summary that can't be true, and returns how many it
+// removed.
+func dropInvalid(s *rpc.Summary) (refused int) {
+	if s.GetDaemons() > maxDaemonsSummed || s.GetSilent() > s.GetDaemons() {
+		s.Daemons, s.Silent = min(s.GetDaemons(), maxDaemonsSummed), min(s.GetSilent(), s.GetDaemons(), maxDaemonsSummed)
 		refused++
 	}
-	s.Charges = keep(s.GetCharges(), &refused, func(c *rpc.Charge) bool {
-		return amount(c.GetTotal()) && amount(c.GetAskedPerSecond()) && amount(math.Abs(c.GetLevel()))
+	s.Charges = filter(s.GetCharges(), &refused, func(c *rpc.Charge) bool {
+		return validAmount(c.GetTotal()) && validAmount(c.GetAskedPerSecond()) && validAmount(math.Abs(c.GetLevel()))
 	})
-	s.Demands = keep(s.GetDemands(), &refused, func(d *rpc.Demand) bool {
-		return d.GetRunning() <= mostRunning && amount(d.GetRequestsPerSecond()) && amount(d.GetTokensPerSecond()) &&
-			amount(d.GetRefusedPerSecond())
+	s.Demands = filter(s.GetDemands(), &refused, func(d *rpc.Demand) bool {
+		return d.GetRunning() <= maxRunning && validAmount(d.GetRequestsPerSecond()) && validAmount(d.GetTokensPerSecond()) &&
+			validAmount(d.GetRefusedPerSecond())
 	})
-	s.Loads = keep(s.GetLoads(), &refused, func(l *rpc.EndpointLoad) bool {
-		return l.GetRunning() <= mostRunning && amount(l.GetTokensPerSecond()) && amount(l.GetUnreadTokens())
+	s.Loads = filter(s.GetLoads(), &refused, func(l *rpc.EndpointLoad) bool {
+		return l.GetRunning() <= maxRunning && validAmount(l.GetTokensPerSecond()) && validAmount(l.GetUnreadTokens())
 	})
 	return refused
 }
 
-// keep returns the items that pass a check.
-func keep[T any](items []*T, refused *int, passes func(*T) bool) []*T {
+// filter returns the items that pass a check, maxItems at most, and counts the others in
+// refused.
+func filter[T any](items []*T, refused *int, valid func(*T) bool) []*T {
 	out := items[:0]
 	for _, item := range items {
-		if len(out) < mostItems && passes(item) {
+		if len(out) < maxItems && valid(item) {
 			out = append(out, item)
 			continue
 		}
@@ -54,23 +56,28 @@
 	return out
 }
 
-// charge, demand and load are sums.
+// charge is the sum of an organisation's charges. level is nil if the daemon that sums has no
+// estimate.
 type charge struct {
 	total, asked float64
-	// level is nil where the daemon that sums has no estimate.
-	level *float64
+	level        *float64
 }
 
+// demand is the sum of the demands for a service, with requests, tokens and refused requests per
+// second.
 type demand struct {
 	running                   int64
 	requests, tokens, refused float64
 }
 
+// loadKey identifies one incarnation of an endpoint.
 type loadKey struct {
 	endpoint string
 	born     int64
 }
 
+// load is the sum of what is sent to an endpoint: requests, prompt tokens per second, and prompt
+// tokens of requests without any event yet.
 type load struct {
 	running        int64
 	tokens, unread float64
@@ -88,8 +95,8 @@
 	return &sums{charges: make(map[string]*charge), demands: make(map[string]*demand), loads: make(map[loadKey]*load)}
 }
 
-// entry returns the sum of a key.
-func entry[K comparable, V any](m map[K]*V, k K) *V {
+// getOrCreate returns the value of a key, which it creates if there is none.
+func getOrCreate[K comparable, V any](m map[K]*V, k K) *V {
 	v := m[k]
 	if v == nil {
 		v = new(V)
@@ -98,70 +105,72 @@
 	return v
 }
 
-func (s *sums) total(organisation string, total float64) {
-	entry(s.charges, organisation).total += total
+// addTotal adds the charges of an organisation.
+func (s *sums) addTotal(organisation string, total float64) {
+	getOrCreate(s.charges, organisation).total += total
 }
 
-// member adds a daemon. Of one that is silent only the totals count, which are kept by
-// zone. Levels are those of the daemon that sums.
-func (s *sums) member(m *member, silent, own bool) {
+// addMember adds a daemon, without its totals, which are kept for the whole zone. Nothing else
+// counts of a silent one. The levels are those of the daemon that sums.
+func (s *sums) addMember(m *member, silent, own bool) {
 	s.daemons++
 	if silent {
 		s.silent++
 		return
 	}
 	for _, c := range m.digest.GetCharges() {
-		sum := entry(s.charges, c.GetOrganisation())
+		sum := getOrCreate(s.charges, c.GetOrganisation())
 		sum.asked += c.GetAskedPerSecond()
 		if own {
 			sum.level = c.Level
 		}
 	}
-	s.doing(m.digest.GetDemands(), m.digest.GetLoads(), 1)
+	s.addActivity(m.digest.GetDemands(), m.digest.GetLoads(), 1)
 }
 
-// group adds the daemons of another zone.
-func (s *sums) group(g *group, now time.Time) {
+// addGroup adds the daemons of another zone.
+func (s *sums) addGroup(g *group, now time.Time) {
 	for o, total := range g.totals {
-		s.total(o, total)
+		s.addTotal(o, total)
 	}
 	if source := g.sources[g.primary]; source != nil {
 		s.daemons += int(source.summary.GetDaemons())
-		if now.Sub(g.heard) > silentAfter {
+		if now.Sub(g.heardAt) > silentAfter {
 			s.silent += int(source.summary.GetDaemons())
 			return
 		}
 		s.silent += int(source.summary.GetSilent())
 		for _, c := range source.summary.GetCharges() {
-			entry(s.charges, c.GetOrganisation()).asked += c.GetAskedPerSecond()
+			getOrCreate(s.charges, c.GetOrganisation()).asked += c.GetAskedPerSecond()
 		}
-		s.doing(source.summary.GetDemands(), source.summary.GetLoads(), 1)
+		s.addActivity(source.summary.GetDemands(), source.summary.GetLoads(), 1)
 	}
 }
 
-// doing adds what daemons demand and send, or takes it away with a sign of -1.
-func (s *sums) doing(demands []*rpc.Demand, loads []*rpc.EndpointLoad, sign float64) {
+// addActivity adds the demands and loads of daemons, or subtracts them with a sign of -1.
+func (s *sums) addActivity(demands []*rpc.Demand, loads []*rpc.EndpointLoad, sign float64) {
 	for _, d := range demands {
-		sum := entry(s.demands, d.GetService())
+		sum := getOrCreate(s.demands, d.GetService())
 		sum.running += int64(sign) * int64(d.GetRunning())
 		sum.requests += sign * d.GetRequestsPerSecond()
 		sum.tokens += sign * d.GetTokensPerSecond()
 		sum.refused += sign * d.GetRefusedPerSecond()
 	}
 	for _, l := range loads {
-		sum := entry(s.loads, loadKey{l.GetEndpoint(), l.GetBorn()})
+		sum := getOrCreate(s.loads, loadKey{l.GetEndpoint(), l.GetBorn()})
 		sum.running += int64(sign) * int64(l.GetRunning())
 		sum.tokens += sign * l.GetTokensPerSecond()
 		sum.unread += sign * l.GetUnreadTokens()
 	}
 }
 
-// message returns the sums as they are told, less what one of the daemons summed does.
+// message returns the sums as a message, without the part of one of the daemons unless it is
+// nil.
 func (s *sums) message(without *member) *rpc.Summary {
 	minus := newSums()
 	out := &rpc.Summary{Daemons: uint32(s.daemons), Silent: uint32(s.silent)}
 	if without != nil {
-		s.without(without, minus, out)
+		s.subtract(without, minus, out)
 	}
 	for o, c := range s.charges {
 		left := *c
@@ -187,7 +196,7 @@
 		if m := minus.loads[key]; m != nil {
 			left.running, left.tokens, left.unread = l.running+m.running, l.tokens+m.tokens, l.unread+m.unread
 		}
-		if left.running <= 0 && left.tokens < leastLoading && left.unread < leastLoading {
+		if left.running <= 0 && left.tokens < minLoadRate && left.unread < minLoadRate {
 			continue
 		}
 		out.Loads = append(out.Loads, &rpc.EndpointLoad{
@@ -198,16 +207,15 @@
 	return out
 }
 
-// without collects what a daemon does, as negative sums. It had been counted in the sums
-// as of its last digest.
-func (s *sums) without(m *member, minus *sums, out *rpc.Summary) {
+// subtract collects the part of a daemon, as of its last digest, in minus as negative sums.
+func (s *sums) subtract(m *member, minus *sums, out *rpc.Summary) {
 	out.Daemons = uint32(max(s.daemons-1, 0))
 	out.Silent = min(out.Silent, out.Daemons)
 	for o, total := range m.counted {
-		entry(minus.charges, o).total -= total
+		getOrCreate(minus.charges, o).total -= total
 	}
 	for _, c := range m.digest.GetCharges() {
-		entry(minus.charges, c.GetOrganisation()).asked -= c.GetAskedPerSecond()
+		getOrCreate(minus.charges, c.GetOrganisation()).asked -= c.GetAskedPerSecond()
 	}
-	minus.doing(m.digest.GetDemands(), m.digest.GetLoads(), -1)
+	minus.addActivity(m.digest.GetDemands(), m.digest.GetLoads(), -1)
 }
