--- a/internal/peer/membertracker/membertracker.go
+++ b/internal/peer/membertracker/membertracker.go
@@ -1,32 +1,26 @@
-// Package ledger is the membership that entry daemons share.
+// Package membertracker keeps the membership of the entry daemons, as it is gossiped.
 //
-// # How news travels
+// Each daemon has a [Tracker] and, once a period, swaps [rpc.News] with one peer. A message
+// holds the sender, the few changes that it has sent least often, and a digest of all members.
+// Only changes are sent, so the bytes of a fleet without changes do not grow with its size. When
+// digests still differ after some rounds, a full exchange is requested.
 //
-// Each daemon keeps a [Tracker] and, once a period, swaps [rpc.News] with one
-// peer. A message holds the sender, the few changes that it has passed on
-// least often, and a digest over all members. Only changes travel, so the
-// bytes of a quiet fleet do not grow with its size; a digest that still
-// differs after some rounds asks for a full exchange.
+// Records are merged as in a semilattice: of two records of one host the higher incarnation
+// wins, and within one incarnation dead wins over suspect and suspect over alive. So merging in
+// any order, twice or late, gives the same result everywhere. A daemon that finds itself suspect
+// or dead raises its own incarnation. So a daemon that resumes after a pause, or a restarted one
+// whose clock is behind, counts as alive again, and a stale record of it does not change that.
 //
-// # Merging
-//
-// The records form a semilattice: of two records of one host the higher
-// incarnation wins, and within one incarnation dead beats suspect beats alive.
-// Merging in any order, twice or late, gives the same result on all sides.
-// A daemon that finds itself suspect or dead raises its own incarnation: so a
-// paused one that wakes up, or a restarted one whose clock is behind, is
-// believed again, and a stale record of it is not.
-//
-// A host of endpoints that is leaving is recorded with its incarnation. Such
-// a record only ever rises, so leaving cannot un-spread.
+// A host of endpoints that is leaving is recorded with its incarnation. The recorded incarnation
+// only rises, so a leaving host can't become a staying one by late news.
 //
 // # Usage
 //
-//	l := ledger.New(ledger.Config{Self: self, ConfigurationNumber: keeper.Number})
-//	out := l.News()
-//	l.Merge(in, time.Now())
+//	t := membertracker.New(membertracker.Config{Self: self})
+//	out := t.News()
+//	t.Merge(in, time.Now())
 //
-// The ledger performs no I/O. It reads no clock: times are handed in.
+// The tracker performs no I/O and reads no clock: callers pass the time.
 package membertracker
 
 import (
@@ -44,38 +38,41 @@
 )
 
 const (
-	// newsMembers and newsLeaving bound a message that is not full.
-	newsMembers = 6
-	newsLeaving = 16
-	// spare is added to the logarithm of the members in limit.
-	spare = 2
-	// maxMembers and maxLeaving bound what is believed from others.
+	// maxNewsMembers and maxNewsLeaving bound a message that is not full.
+	maxNewsMembers = 6
+	maxNewsLeaving = 16
+	// extraSends is added to the logarithm of the number of members in sendLimit.
+	extraSends = 2
+	// maxMembers and maxLeaving bound the records taken over from peers.
 	maxMembers = 1024
 	maxLeaving = 8192
-	// suspicion is how long a suspect may refute before it counts as dead.
-	suspicion = 5 * time.Second
-	// deadMemory is how long a dead member is remembered, so that late news
-	// of its last incarnation does not revive it.
-	deadMemory = 10 * time.Minute
-	// leavingMemory outlasts any platform outage in which the host list
-	// would still show the host as live.
-	leavingMemory = 2 * time.Hour
-	// patience is the number of messages with a differing digest after which
-	// a full exchange is asked for.
-	patience = 5
+	// suspicionTimeout is how long a suspect may refute the suspicion before it counts as dead.
+	suspicionTimeout = 5 * time.Second
+	// deadRetention is how long the record of a dead member is kept, so that late news of its
+	// last incarnation does not revive it.
+	deadRetention = 10 * time.Minute
+	// leavingRetention is longer than any platform outage in which the host list would still
+	// show a leaving host as live.
+	leavingRetention = 2 * time.Hour
+	// maxDifferingDigests is the number of messages in a row with a differing digest after which
+	// a full exchange is requested.
+	maxDifferingDigests = 5
 )
 
-// Config names the daemon itself.
+// Config holds the daemon's own record.
 type Config struct {
 	Self *rpc.Member
 }
 
+// member is the record of another daemon, with the time of its last change and how often it was
+// sent since.
 type member struct {
 	record *rpc.Member
 	since  time.Time
 	sent   int
 }
 
+// departure is the record of a leaving host.
 type departure struct {
 	incarnation identifier.Incarnation
 	deadline    time.Time
@@ -83,28 +80,28 @@
 	sent        int
 }
 
-// Tracker holds the records. It is safe for concurrent use.
+// Tracker keeps the records. It is safe for concurrent use.
 type Tracker struct {
-	mu      sync.Mutex
-	self    *rpc.Member
-	members map[identifier.Host]*member
-	leaving map[identifier.Host]*departure
-	differs int
+	mu               sync.Mutex
+	self             *rpc.Member
+	members          map[identifier.Host]*member
+	leaving          map[identifier.Host]*departure
+	differingDigests int
 }
 
-// New returns a ledger that knows only its own daemon.
+// New returns a tracker that knows only its own daemon.
 func New(c Config) *Tracker {
 	return &Tracker{self: clone(c.Self), members: make(map[identifier.Host]*member), leaving: make(map[identifier.Host]*departure)}
 }
 
-// Self returns the daemon's own record.
-func (l *Tracker) Self() *rpc.Member {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.copySelf()
+// Self returns a copy of the daemon's own record.
+func (t *Tracker) Self() *rpc.Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.copySelf()
 }
 
-func (l *Tracker) copySelf() *rpc.Member { return clone(l.self) }
+func (t *Tracker) copySelf() *rpc.Member { return clone(t.self) }
 
 func clone(m *rpc.Member) *rpc.Member {
 	return &rpc.Member{
@@ -113,29 +110,30 @@
 	}
 }
 
-// Members returns the other members, dead ones included, ordered by host.
-func (l *Tracker) Members() []*rpc.Member {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	out := make([]*rpc.Member, 0, len(l.members))
-	for _, m := range l.members {
+// Members returns copies of the records of the other members, dead ones included, sorted by
+// host.
+func (t *Tracker) Members() []*rpc.Member {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	out := make([]*rpc.Member, 0, len(t.members))
+	for _, m := range t.members {
 		out = append(out, clone(m.record))
 	}
 	slices.SortFunc(out, func(a, b *rpc.Member) int { return cmp.Compare(a.Host, b.Host) })
 	return out
 }
 
-// Alive returns the members to talk to: alive or merely suspect.
-func (l *Tracker) Alive() []*rpc.Member {
-	return slices.DeleteFunc(l.Members(), func(m *rpc.Member) bool { return m.State == rpc.State_DEAD })
+// Alive returns the records of the other members that are alive or suspect, sorted by host.
+func (t *Tracker) Alive() []*rpc.Member {
+	return slices.DeleteFunc(t.Members(), func(m *rpc.Member) bool { return m.State == rpc.State_DEAD })
 }
 
-// Count counts the daemons that are not dead, this one included.
-func (l *Tracker) Count() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Count returns the number of daemons that are not dead, this one included.
+func (t *Tracker) Count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	n := 1
-	for _, m := range l.members {
+	for _, m := range t.members {
 		if m.record.State != rpc.State_DEAD {
 			n++
 		}
@@ -143,58 +141,57 @@
 	return n
 }
 
-// AliveInZone counts the daemons of a zone that are not dead, this one
-// included.
-func (l *Tracker) AliveInZone(zone identifier.AvailabilityZone) int {
+// AliveInZone returns the number of daemons of a zone that are not dead, this one included.
+func (t *Tracker) AliveInZone(zone identifier.AvailabilityZone) int {
 	n := 0
-	for _, m := range l.Alive() {
+	for _, m := range t.Alive() {
 		if m.AvailabilityZone == string(zone) {
 			n++
 		}
 	}
-	if l.Self().AvailabilityZone == string(zone) {
+	if t.Self().AvailabilityZone == string(zone) {
 		n++
 	}
 	return n
 }
 
-// Leaving returns the deadline of a leaving host; ok is false if this
-// incarnation of the host is not known to leave.
-func (l *Tracker) Leaving(h identifier.Host, i identifier.Incarnation) (deadline time.Time, ok bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	d := l.leaving[h]
+// Leaving returns the deadline of a leaving host. ok is false if this incarnation of the host is
+// not known to leave.
+func (t *Tracker) Leaving(h identifier.Host, i identifier.Incarnation) (deadline time.Time, ok bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	d := t.leaving[h]
 	if d == nil || d.incarnation < i {
 		return time.Time{}, false
 	}
 	return d.deadline, true
 }
 
-// MarkLeaving records that an incarnation of a host is leaving. It reports
-// whether that was news.
-func (l *Tracker) MarkLeaving(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.mark(h, i, deadline, now)
+// MarkLeaving records that an incarnation of a host is leaving by a deadline. It reports whether
+// that was not known before.
+func (t *Tracker) MarkLeaving(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.addLeaving(h, i, deadline, now)
 }
 
-func (l *Tracker) mark(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool {
-	d := l.leaving[h]
+func (t *Tracker) addLeaving(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool {
+	d := t.leaving[h]
 	if d != nil && d.incarnation >= i {
 		return false
 	}
-	if d == nil && len(l.leaving) >= maxLeaving {
+	if d == nil && len(t.leaving) >= maxLeaving {
 		return false
 	}
-	l.leaving[h] = &departure{incarnation: i, deadline: deadline, since: now}
+	t.leaving[h] = &departure{incarnation: i, deadline: deadline, since: now}
 	return true
 }
 
-// MarkUnreachable suspects a member that did not answer.
-func (l *Tracker) MarkUnreachable(h identifier.Host, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	m := l.members[h]
+// MarkUnreachable makes a live member that did not answer a suspect.
+func (t *Tracker) MarkUnreachable(h identifier.Host, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	m := t.members[h]
 	if m == nil || m.record.State != rpc.State_ALIVE {
 		return
 	}
@@ -203,62 +200,65 @@
 	m.sent = 0
 }
 
-// Tick turns suspects that did not refute into dead members and forgets what
-// is older than any use.
-func (l *Tracker) Tick(now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for h, m := range l.members {
+// Tick makes suspects dead that did not refute in time, and drops records that are older than
+// their retention.
+func (t *Tracker) Tick(now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for h, m := range t.members {
 		switch age := now.Sub(m.since); {
-		case m.record.State == rpc.State_SUSPECT && age > suspicion:
+		case m.record.State == rpc.State_SUSPECT && age > suspicionTimeout:
 			m.record.State = rpc.State_DEAD
 			m.since = now
 			m.sent = 0
-		case m.record.State == rpc.State_DEAD && age > deadMemory:
-			delete(l.members, h)
+		case m.record.State == rpc.State_DEAD && age > deadRetention:
+			delete(t.members, h)
 		}
 	}
-	for h, d := range l.leaving {
-		if now.Sub(d.since) > leavingMemory {
-			delete(l.leaving, h)
+	for h, d := range t.leaving {
+		if now.Sub(d.since) > leavingRetention {
+			delete(t.leaving, h)
 		}
 	}
 }
 
-// Leave marks the daemon itself as gone, for its last messages.
-func (l *Tracker) Leave() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.self.State = rpc.State_DEAD
+// Leave marks the daemon itself as dead, for its last messages.
+func (t *Tracker) Leave() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.self.State = rpc.State_DEAD
 }
 
-// News returns the message for one exchange.
-func (l *Tracker) News() *rpc.News {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	full := l.differs >= patience || len(l.members) == 0
-	n := &rpc.News{Self: l.copySelf(), Digest: l.digest(), Full: full}
-	l.fill(n, full)
+// News returns the message for one exchange. It is a full one, as a request for a full answer,
+// if digests kept differing or no member is known.
+func (t *Tracker) News() *rpc.News {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	full := t.differingDigests >= maxDifferingDigests || len(t.members) == 0
+	n := &rpc.News{Self: t.copySelf(), Digest: t.digest(), Full: full}
+	t.addRecords(n, full)
 	return n
 }
 
-// Full returns a message with everything known, as answer to a full one.
-func (l *Tracker) Full() *rpc.News {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	n := &rpc.News{Self: l.copySelf(), Digest: l.digest(), Full: true}
-	l.fill(n, true)
+// Full returns a message with all records, as the answer to a full one.
+func (t *Tracker) Full() *rpc.News {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	n := &rpc.News{Self: t.copySelf(), Digest: t.digest(), Full: true}
+	t.addRecords(n, true)
 	return n
 }
 
-func (l *Tracker) fill(n *rpc.News, full bool) {
-	limit := l.limit()
-	for _, m := range l.leastSent(full, limit) {
+// addRecords adds the records to a message that were sent least often, or all of them to a full
+// one.
+func (t *Tracker) addRecords(n *rpc.News, full bool) {
+	limit := t.sendLimit()
+	for _, m := range t.leastSent(full, limit) {
 		m.sent++
 		n.Members = append(n.Members, clone(m.record))
 	}
-	for _, h := range l.leavingLeastSent(full, limit) {
-		d := l.leaving[h]
+	for _, h := range t.leavingLeastSent(full, limit) {
+		d := t.leaving[h]
 		d.sent++
 		n.Leaving = append(n.Leaving, &rpc.Leaving{
 			Host: string(h), Incarnation: uint64(d.incarnation), DeadlineUnixMilli: d.deadline.UnixMilli(),
@@ -266,13 +266,14 @@
 	}
 }
 
-// limit is how often a daemon passes a change on: often enough that it reaches
-// all with high probability; the digest catches the rest.
-func (l *Tracker) limit() int { return spare + bits.Len(uint(len(l.members)+1)) }
+// sendLimit is how often a daemon sends a change: often enough that it reaches all daemons with
+// high probability. Differing digests reveal the rest.
+func (t *Tracker) sendLimit() int { return extraSends + bits.Len(uint(len(t.members)+1)) }
 
-func (l *Tracker) leastSent(full bool, limit int) []*member {
-	out := make([]*member, 0, len(l.members))
-	for _, m := range l.members {
+// leastSent returns the members that were sent least often.
+func (t *Tracker) leastSent(full bool, limit int) []*member {
+	out := make([]*member, 0, len(t.members))
+	for _, m := range t.members {
 		if full || m.sent < limit {
 			out = append(out, m)
 		}
@@ -283,30 +284,31 @@
 	if full {
 		return out
 	}
-	return out[:min(len(out), newsMembers)]
+	return out[:min(len(out), maxNewsMembers)]
 }
 
-func (l *Tracker) leavingLeastSent(full bool, limit int) []identifier.Host {
-	out := make([]identifier.Host, 0, len(l.leaving))
-	for h, d := range l.leaving {
+// leavingLeastSent returns the leaving hosts that were sent least often.
+func (t *Tracker) leavingLeastSent(full bool, limit int) []identifier.Host {
+	out := make([]identifier.Host, 0, len(t.leaving))
+	for h, d := range t.leaving {
 		if full || d.sent < limit {
 			out = append(out, h)
 		}
 	}
 	slices.SortFunc(out, func(a, b identifier.Host) int {
-		return cmp.Or(cmp.Compare(l.leaving[a].sent, l.leaving[b].sent), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(t.leaving[a].sent, t.leaving[b].sent), cmp.Compare(a, b))
 	})
 	if full {
 		return out
 	}
-	return out[:min(len(out), newsLeaving)]
+	return out[:min(len(out), maxNewsLeaving)]
 }
 
-// digest sums over all members that are not dead, self included. A sum does
-// not depend on the order, and equal ledgers have equal sums.
-func (l *Tracker) digest() uint64 {
-	sum := hash(l.self)
-	for _, m := range l.members {
+// digest returns a sum over all members that are not dead, this daemon included. It does not
+// depend on their order, and trackers with the same members have the same digest.
+func (t *Tracker) digest() uint64 {
+	sum := hash(t.self)
+	for _, m := range t.members {
 		if m.record.State != rpc.State_DEAD {
 			sum += hash(m.record)
 		}
@@ -318,71 +320,70 @@
 	return xxhash.Sum64String(fmt.Sprintf("%s/%d", m.Host, m.Incarnation))
 }
 
-// Merge takes in a peer's message and returns the leaving hosts that were not
-// known before.
-func (l *Tracker) Merge(n *rpc.News, now time.Time) []*rpc.Leaving {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+// Merge merges a peer's message and returns the leaving hosts that were not known before.
+func (t *Tracker) Merge(n *rpc.News, now time.Time) []*rpc.Leaving {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	if n.Self != nil {
-		l.replaceAddress(n.Self)
-		l.merge(n.Self, now)
+		t.retireAddress(n.Self)
+		t.merge(n.Self, now)
 	}
 	for _, m := range n.Members {
-		l.merge(m, now)
+		t.merge(m, now)
 		if n.Full {
-			l.settled(m)
+			t.stopSending(m)
 		}
 	}
 	var fresh []*rpc.Leaving
 	for _, d := range n.Leaving {
-		if l.mark(identifier.Host(d.Host), identifier.Incarnation(d.Incarnation), time.UnixMilli(d.DeadlineUnixMilli), now) {
+		if t.addLeaving(identifier.Host(d.Host), identifier.Incarnation(d.Incarnation), time.UnixMilli(d.DeadlineUnixMilli), now) {
 			fresh = append(fresh, d)
 		}
 	}
-	l.compare(n)
+	t.compareDigest(n)
 	return fresh
 }
 
-// settled stops a record from being passed on: it came in a full message, of
-// which every daemon has had one. Without this, each join would set all
-// records travelling again.
-func (l *Tracker) settled(in *rpc.Member) {
-	if m := l.members[identifier.Host(in.Host)]; m != nil && m.record.Incarnation == in.Incarnation {
-		m.sent = max(m.sent, l.limit())
+// stopSending stops a record from being sent: it came in a full message, and every daemon has
+// had one. Otherwise each join would make all records be sent again.
+func (t *Tracker) stopSending(in *rpc.Member) {
+	if m := t.members[identifier.Host(in.Host)]; m != nil && m.record.Incarnation == in.Incarnation {
+		m.sent = max(m.sent, t.sendLimit())
 	}
 }
 
-func (l *Tracker) compare(n *rpc.News) {
-	if n.Digest == l.digest() || n.Full {
-		l.differs = 0
+// compareDigest counts the messages in a row whose digest differs from this daemon's.
+func (t *Tracker) compareDigest(n *rpc.News) {
+	if n.Digest == t.digest() || n.Full {
+		t.differingDigests = 0
 		return
 	}
-	l.differs++
+	t.differingDigests++
 }
 
-// replaceAddress retires other hosts at the sender's address: the platform
-// gave the address of a lost host to a new one, and calls meant for the old
-// host would reach the new.
-func (l *Tracker) replaceAddress(sender *rpc.Member) {
-	for h, m := range l.members {
+// retireAddress marks other hosts at the sender's address as dead: the platform gave the address
+// of a lost host to a new one, and calls meant for the old host would reach the new one.
+func (t *Tracker) retireAddress(sender *rpc.Member) {
+	for h, m := range t.members {
 		if m.record.PeerAddress == sender.PeerAddress && h != identifier.Host(sender.Host) {
 			m.record.State = rpc.State_DEAD
 		}
 	}
 }
 
-func (l *Tracker) merge(in *rpc.Member, now time.Time) {
+// merge merges one record.
+func (t *Tracker) merge(in *rpc.Member, now time.Time) {
 	if in.Host == "" || in.PeerAddress == "" {
 		return
 	}
-	if in.Host == l.self.Host {
-		l.refute(in)
+	if in.Host == t.self.Host {
+		t.refute(in)
 		return
 	}
-	known := l.members[identifier.Host(in.Host)]
+	known := t.members[identifier.Host(in.Host)]
 	if known == nil {
-		if len(l.members) < maxMembers {
-			l.members[identifier.Host(in.Host)] = &member{record: clone(in), since: now}
+		if len(t.members) < maxMembers {
+			t.members[identifier.Host(in.Host)] = &member{record: clone(in), since: now}
 		}
 		return
 	}
@@ -397,6 +398,7 @@
 	known.sent = 0
 }
 
+// newer reports whether a record replaces a known one.
 func newer(in, known *rpc.Member) bool {
 	if in.Incarnation != known.Incarnation {
 		return in.Incarnation > known.Incarnation
@@ -404,14 +406,14 @@
 	return in.State > known.State
 }
 
-// refute answers news about the daemon itself. Without it, a daemon that was
-// paused past the suspicion time would stay dead in all other ledgers, and a
-// restarted one with a clock behind would be taken for its earlier life.
-func (l *Tracker) refute(in *rpc.Member) {
-	if l.self.State == rpc.State_DEAD || in.Incarnation < l.self.Incarnation {
+// refute answers a record about the daemon itself by raising its incarnation. Otherwise a daemon
+// that was paused for longer than the suspicion timeout would stay dead for all others, and a
+// restarted one whose clock is behind would be taken for its former process.
+func (t *Tracker) refute(in *rpc.Member) {
+	if t.self.State == rpc.State_DEAD || in.Incarnation < t.self.Incarnation {
 		return
 	}
-	if in.Incarnation > l.self.Incarnation || in.State != rpc.State_ALIVE {
-		l.self.Incarnation = in.Incarnation + 1
+	if in.Incarnation > t.self.Incarnation || in.State != rpc.State_ALIVE {
+		t.self.Incarnation = in.Incarnation + 1
 	}
 }
