--- a/internal/peer/mirror/mirror.go
+++ b/internal/peer/mirror/mirror.go
@@ -1,21 +1,17 @@
-// Package mirror keeps the platform's objects as a daemon last knew them, so
-// that a peer can follow them without asking the platform.
+// Package mirror keeps the platform's objects as a daemon last knew them, so that peers can
+// follow them without calls to the platform.
 //
-// # Why
+// Each call to the platform is priced, and its rate is shared: if sixty daemons watch the same
+// lists, one change costs sixty calls. So a few daemons watch the store, and the others ask them
+// for what changed after the highest revision that they have. Revisions are the store's own,
+// hence the same at every daemon. A deleted object is kept as a tombstone, so that its deletion
+// is a change, too.
 //
-// Each call to the platform has its price, and its rate is shared: sixty daemons
-// that follow the same lists pay sixty times for one change. So a few daemons
-// watch the store, and the others take from them what changed after the highest
-// revision that they have. Revisions are the store's own, hence the same at every
-// daemon; the end of an object is kept as a change, too.
-//
-// # Gaps
-//
-// A daemon that lists the store does not see what ended before, so it can't tell
-// others all changes after an older revision. One that passed on such a list as
-// changes left its peers with endpoints that had ended, for good. [Mirror.BeginList]
-// marks from where on the history is whole; [Mirror.Changes] hands out everything to
-// those who ask from before, and nothing while a list is in doubt.
+// A daemon that lists the store does not see what was deleted before, so it does not have all
+// changes since an older revision. A daemon that passed on such a list as changes left its peers
+// with endpoints that had ended, for good. [Mirror.BeginList] marks the revision from which on
+// the changes are complete. [Mirror.Changes] returns all objects to peers that ask for changes
+// from before it, and none while a list is uncertain.
 //
 // # Usage
 //
@@ -33,31 +29,30 @@
 	"brasschute/internal/platform/object"
 )
 
-// maxEnds bounds the ends of objects that are remembered: hours of a fleet that
-// replaces an endpoint every few seconds. The oldest are forgotten.
-const maxEnds = 4096
+// maxTombstones bounds the tombstones kept: those of hours in a fleet that replaces an endpoint
+// every few seconds. The oldest are dropped.
+const maxTombstones = 4096
 
-// Mirror holds objects by key. The zero value holds none; it is safe for
+// Mirror keeps objects by key. The zero value is empty and ready to use; it is safe for
 // concurrent use.
 type Mirror struct {
-	mu      sync.Mutex
-	objects map[string]object.Object
-	ends    int
-	// whole is, by kind, the revision from which on all changes are known; doubt the
-	// one up to which they are while a list is in doubt.
-	whole map[string]uint64
-	doubt map[string]uint64
+	mu         sync.Mutex
+	objects    map[string]object.Object
+	tombstones int
+	// completeFrom is, by kind, the revision from which on all changes are known. uncertainAfter
+	// is, by kind, the revision up to which they are known while a list is uncertain.
+	completeFrom   map[string]uint64
+	uncertainAfter map[string]uint64
 }
 
-// ErrListUncertain means that the last list lacked objects of which it is not known yet
-// whether they have ended.
+// ErrListUncertain means that the last list lacked objects, and it is not known yet whether they
+// were deleted.
 var ErrListUncertain = errors.New("mirror: list in doubt")
 
-// Apply takes in what one list, or one watch, brought and returns what was news of
-// it. It takes all or nothing: whoever asked for the changes in between would take
-// the highest revision of a part for all that there is, and never ask for the
-// rest. An object that has ended returns only with a higher version: entries that
-// lapsed while the platform was away.
+// Apply merges the objects of one list or one watch event and returns those that were new. It
+// merges all of them under one lock: a peer that asked for changes in between would take the
+// highest revision of a part for all there is, and never ask for the rest. A deleted object
+// returns only with a higher version, as an entry does that lapsed while the platform was away.
 func (m *Mirror) Apply(objects []object.Object) (news []object.Object) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -69,15 +64,15 @@
 			news = append(news, o)
 		}
 	}
-	if m.ends > maxEnds {
-		m.forget()
+	if m.tombstones > maxTombstones {
+		m.dropTombstones()
 	}
 	return news
 }
 
-// ApplyFromPeer takes in what a peer told, as Apply does. A mirror shows all that happened
-// up to its revision, so an object that it does not have, and that is not newer, has
-// ended: a peer that lags, or that missed the end, must not bring it back.
+// ApplyFromPeer merges objects from a peer, as Apply does. A mirror has all changes up to its
+// revision. So an object that it does not have, and that is not newer than its revision, has
+// been deleted: a peer that lags, or that missed the deletion, must not bring it back.
 func (m *Mirror) ApplyFromPeer(objects []object.Object) (news []object.Object) {
 	revisions := make(map[string]uint64)
 	var newer []object.Object
@@ -93,8 +88,7 @@
 	return m.Apply(newer)
 }
 
-// apply takes in one object and reports whether it was news. The caller holds
-// the lock.
+// apply merges one object and reports whether it was new. The caller holds the lock.
 func (m *Mirror) apply(o object.Object) bool {
 	old, known := m.objects[o.Key]
 	if known && (o.Version < old.Version || o.Version == old.Version && (!o.Deleted || old.Deleted)) {
@@ -104,81 +98,82 @@
 		o.Value = nil
 	}
 	if o.Deleted != old.Deleted {
-		m.count(o.Deleted)
+		m.countTombstone(o.Deleted)
 	}
 	m.objects[o.Key] = o
 	return !o.Deleted || !old.Deleted
 }
 
-// count keeps the number of ends.
-func (m *Mirror) count(end bool) {
-	if end {
-		m.ends++
+// countTombstone updates the number of tombstones.
+func (m *Mirror) countTombstone(deleted bool) {
+	if deleted {
+		m.tombstones++
 		return
 	}
-	m.ends--
+	m.tombstones--
 }
 
-// forget drops the older half of the ends.
-func (m *Mirror) forget() {
-	var ended []object.Object
+// dropTombstones drops the older half of the tombstones.
+func (m *Mirror) dropTombstones() {
+	var deleted []object.Object
 	for _, o := range m.objects {
 		if o.Deleted {
-			ended = append(ended, o)
+			deleted = append(deleted, o)
 		}
 	}
-	slices.SortFunc(ended, func(a, b object.Object) int { return cmp.Compare(a.Version, b.Version) })
-	for _, o := range ended[:len(ended)/2] {
+	slices.SortFunc(deleted, func(a, b object.Object) int { return cmp.Compare(a.Version, b.Version) })
+	for _, o := range deleted[:len(deleted)/2] {
 		delete(m.objects, o.Key)
-		m.ends--
+		m.tombstones--
 	}
 }
 
-// Revision is that up to which all changes of a kind's objects are known: the
-// highest version, unless a list is in doubt.
+// Revision returns the revision up to which all changes of a kind's objects are known: the
+// highest version, unless a list is uncertain.
 func (m *Mirror) Revision(kind string) uint64 {
 	highest := m.highest(kind)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if known, in := m.doubt[kind]; in {
+	if known, in := m.uncertainAfter[kind]; in {
 		return min(highest, known)
 	}
 	return highest
 }
 
-// BeginList notes that a list of a kind, as of a revision, is about to be applied. gap:
-// changes before it have gone unseen. doubt: it lacks objects that may have ended.
-func (m *Mirror) BeginList(kind string, revision uint64, gap, doubt bool) {
+// BeginList records that a list of a kind as of a revision is about to be applied. gap means
+// that changes before it were missed. uncertain means that the list lacks objects that may have
+// been deleted.
+func (m *Mirror) BeginList(kind string, revision uint64, gap, uncertain bool) {
 	known := m.Revision(kind)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.whole == nil {
-		m.whole, m.doubt = make(map[string]uint64), make(map[string]uint64)
+	if m.completeFrom == nil {
+		m.completeFrom, m.uncertainAfter = make(map[string]uint64), make(map[string]uint64)
 	}
-	_, was := m.doubt[kind]
+	_, wasUncertain := m.uncertainAfter[kind]
 	switch {
-	case doubt && !was:
-		m.doubt[kind] = known
-	case !doubt:
-		delete(m.doubt, kind)
+	case uncertain && !wasUncertain:
+		m.uncertainAfter[kind] = known
+	case !uncertain:
+		delete(m.uncertainAfter, kind)
 	}
-	if gap || was {
-		m.whole[kind] = max(m.whole[kind], revision)
+	if gap || wasUncertain {
+		m.completeFrom[kind] = max(m.completeFrom[kind], revision)
 	}
 }
 
-// Changes returns the changes of a kind after a revision, or all objects where not
-// all changes since are known. It fails while a list is in doubt, but for those who
-// know nothing.
+// Changes returns the changes of a kind after a revision, in the order of their versions, or all
+// objects and full if some changes since then are not known. While a list is uncertain it
+// returns [ErrListUncertain], except for revision 0, that of a peer that has nothing.
 func (m *Mirror) Changes(kind string, after uint64) (changes []object.Object, full bool, err error) {
 	m.mu.Lock()
-	_, doubt := m.doubt[kind]
-	full = after < m.whole[kind]
+	_, uncertain := m.uncertainAfter[kind]
+	full = after < m.completeFrom[kind]
 	m.mu.Unlock()
 	switch {
 	case after == 0:
 		return m.ChangedSince(kind, 0), false, nil
-	case doubt:
+	case uncertain:
 		return nil, false, ErrListUncertain
 	case full:
 		return m.ChangedSince(kind, 0), true, nil
@@ -186,8 +181,8 @@
 	return m.ChangedSince(kind, after), false, nil
 }
 
-// Replace takes in all objects of a kind as a peer knows them up to a revision. What
-// is missing has ended.
+// Replace replaces the objects of a kind with all those that a peer knows up to a revision, and
+// returns what was new. Objects that are missing have been deleted.
 func (m *Mirror) Replace(kind string, objects []object.Object, revision uint64) (news []object.Object) {
 	present := make(map[string]bool, len(objects))
 	for i := range objects {
@@ -198,28 +193,29 @@
 			objects = append(objects, object.Object{Key: key, Version: revision, Deleted: true})
 		}
 	}
-	// A peer that lags does not settle a doubt.
-	if m.highest(kind) <= revision || !m.doubts(kind) {
+	// A list of a peer that lags does not end the uncertainty.
+	if m.highest(kind) <= revision || !m.isUncertain(kind) {
 		m.BeginList(kind, revision, true, false)
 	}
 	return m.ApplyFromPeer(objects)
 }
 
-func (m *Mirror) doubts(kind string) bool {
+// isUncertain reports whether the last list of a kind is uncertain.
+func (m *Mirror) isUncertain(kind string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, in := m.doubt[kind]
+	_, in := m.uncertainAfter[kind]
 	return in
 }
 
-// highest is the highest version of a kind's objects.
+// highest returns the highest version of a kind's objects, tombstones included.
 func (m *Mirror) highest(kind string) uint64 {
 	var highest uint64
 	m.each(kind, func(o object.Object) { highest = max(highest, o.Version) })
 	return highest
 }
 
-// KnownVersions returns the keys and versions of a kind's objects that have not ended.
+// KnownVersions returns the versions of a kind's objects by key, without deleted ones.
 func (m *Mirror) KnownVersions(kind string) map[string]uint64 {
 	out := make(map[string]uint64)
 	m.each(kind, func(o object.Object) {
@@ -230,7 +226,7 @@
 	return out
 }
 
-// ChangedSince returns the objects of a kind that changed or ended after a revision, in
+// ChangedSince returns the objects of a kind that changed or were deleted after a revision, in
 // the order of their versions.
 func (m *Mirror) ChangedSince(kind string, after uint64) []object.Object {
 	var out []object.Object
@@ -243,6 +239,7 @@
 	return out
 }
 
+// each calls f with each object of a kind, tombstones included, under the lock.
 func (m *Mirror) each(kind string, f func(object.Object)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peer/mirror/mirror_test.go
+++ b/internal/peer/mirror/mirror_test.go
@@ -9,18 +9,20 @@
 	"brasschute/internal/platform/object"
 )
 
-// one takes in one object.
-func (m *Mirror) one(o object.Object) bool { return len(m.Apply([]object.Object{o})) == 1 }
+// applyOne applies one object and reports whether it was new.
+func (m *Mirror) applyOne(o object.Object) bool { return len(m.Apply([]object.Object{o})) == 1 }
 
-func TestEndsAreFinal(t *testing.T) {
+// Objects of earlier revisions, late or from a peer that lags, must not bring back a deleted
+// endpoint.
+func TestDeletedObjectsStayDeleted(t *testing.T) {
 	var m Mirror
-	m.one(object.Object{Key: "servers/a", Version: 3})
-	m.one(object.Object{Key: "servers/a", Version: 5, Deleted: true})
-	if m.one(object.Object{Key: "servers/a", Version: 4}) || m.one(object.Object{Key: "servers/a", Version: 5}) {
-		t.Error("an endpoint that has ended came back")
+	m.applyOne(object.Object{Key: "servers/a", Version: 3})
+	m.applyOne(object.Object{Key: "servers/a", Version: 5, Deleted: true})
+	if m.applyOne(object.Object{Key: "servers/a", Version: 4}) || m.applyOne(object.Object{Key: "servers/a", Version: 5}) {
+		t.Error("a deleted endpoint came back")
 	}
 	if news := m.ApplyFromPeer([]object.Object{{Key: "servers/b", Version: 5}}); len(news) > 0 {
-		t.Error("a peer that lags brought back an endpoint that had ended before")
+		t.Error("a peer that lags brought back an endpoint that was deleted before")
 	}
 	changes := m.ChangedSince("servers", 4)
 	if len(changes) != 1 || !changes[0].Deleted || m.Revision("servers") != 5 || m.Revision("config") != 0 {
@@ -28,36 +30,36 @@
 	}
 }
 
-// The store is away, and the entry of an endpoint that lives lapses; it comes back
-// with a new version. A daemon that took the end for final never used it again.
+// The entry of a live endpoint lapses while the store is away, and returns with a new version. A
+// daemon that took the deletion for final never used the endpoint again.
 func TestLapsedEndpointsReturn(t *testing.T) {
 	var m Mirror
 	m.Apply([]object.Object{{Key: "servers/a", Version: 3}})
 	m.Apply([]object.Object{{Key: "servers/a", Version: 5, Deleted: true}})
-	if !m.one(object.Object{Key: "servers/a", Version: 6}) || len(m.KnownVersions("servers")) != 1 || m.ends != 0 {
-		t.Errorf("known %v, %d ends", m.KnownVersions("servers"), m.ends)
+	if !m.applyOne(object.Object{Key: "servers/a", Version: 6}) || len(m.KnownVersions("servers")) != 1 || m.tombstones != 0 {
+		t.Errorf("known %v, %d tombstones", m.KnownVersions("servers"), m.tombstones)
 	}
 }
 
-// Two daemons see the store's changes in any order, late and twice, and one
-// follows the other: in the end both hold the same.
+// Two daemons receive the store's changes at different times, some of them twice, one from the
+// other. In the end both must have the same objects.
 func TestFollowersAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var ahead, behind Mirror
 		n := rapid.IntRange(1, 40).Draw(t, "changes")
 		for version := range n {
 			o := object.Object{Key: fmt.Sprintf("servers/%d", rapid.IntRange(0, 5).Draw(t, "key")), Version: uint64(version + 1)}
-			o.Deleted = rapid.IntRange(0, 4).Draw(t, "end") == 0
-			ahead.one(o)
+			o.Deleted = rapid.IntRange(0, 4).Draw(t, "deletion") == 0
+			ahead.applyOne(o)
 			if rapid.Bool().Draw(t, "follow") {
 				for _, c := range ahead.ChangedSince("servers", behind.Revision("servers")) {
-					behind.one(c)
+					behind.applyOne(c)
 				}
 			}
 		}
 		for _, c := range ahead.ChangedSince("servers", behind.Revision("servers")) {
-			behind.one(c)
-			behind.one(c)
+			behind.applyOne(c)
+			behind.applyOne(c)
 		}
 		if a, b := fmt.Sprint(ahead.ChangedSince("servers", 0)), fmt.Sprint(behind.ChangedSince("servers", 0)); a != b {
 			t.Fatalf("ahead %s\nbehind %s", a, b)
@@ -65,46 +67,45 @@
 	})
 }
 
-func TestEndsAreBounded(t *testing.T) {
+func TestTombstonesAreBounded(t *testing.T) {
 	var m Mirror
-	for n := range 3 * maxEnds {
-		m.one(object.Object{Key: fmt.Sprintf("servers/%d", n), Version: uint64(n + 1), Deleted: true})
+	for n := range 3 * maxTombstones {
+		m.applyOne(object.Object{Key: fmt.Sprintf("servers/%d", n), Version: uint64(n + 1), Deleted: true})
 	}
-	if got := len(m.ChangedSince("servers", 0)); got > maxEnds {
-		t.Errorf("%d ends remembered", got)
+	if got := len(m.ChangedSince("servers", 0)); got > maxTombstones {
+		t.Errorf("%d tombstones kept", got)
 	}
 }
 
-// A daemon that has just started lists the store, in which an endpoint has ended a
-// moment before. A peer that still knows the endpoint asks it for the changes since:
-// it got a higher revision without the end, asked nobody any more, and sent requests
-// to the endpoint twenty seconds after it had gone.
-func TestNewcomersListIsNotAHistory(t *testing.T) {
-	for _, doubt := range []bool{false, true} {
-		var newcomer, lags Mirror
+// A daemon that has just started lists the store after an endpoint was deleted. A peer that
+// still knows the endpoint asks it for the changes since. It got a higher revision without the
+// deletion, asked no other peer, and sent requests to the endpoint 20 s after its end.
+func TestFirstListIsNotPassedOnAsChanges(t *testing.T) {
+	for _, uncertain := range []bool{false, true} {
+		var newcomer, lagging Mirror
 		at := func(key string, version uint64) object.Object { return object.Object{Key: key, Version: version} }
-		lags.Apply([]object.Object{at("servers/a", 3), at("servers/ends", 4), at("servers/b", 5)})
-		if doubt {
+		lagging.Apply([]object.Object{at("servers/a", 3), at("servers/ends", 4), at("servers/b", 5)})
+		if uncertain {
 			newcomer.Apply([]object.Object{at("servers/ends", 4)})
 		}
-		newcomer.BeginList("servers", 7, true, doubt)
+		newcomer.BeginList("servers", 7, true, uncertain)
 		newcomer.Apply([]object.Object{at("servers/a", 3), at("servers/b", 7)})
-		if doubt {
+		if uncertain {
 			if got := newcomer.Revision("servers"); got != 4 {
-				t.Errorf("revision %d while the list is in doubt", got)
+				t.Errorf("revision %d while the list is uncertain", got)
 			}
-			if _, _, err := newcomer.Changes("servers", lags.Revision("servers")); err == nil {
-				t.Error("a list in doubt was passed on")
+			if _, _, err := newcomer.Changes("servers", lagging.Revision("servers")); err == nil {
+				t.Error("an uncertain list was passed on")
 			}
 			newcomer.BeginList("servers", 8, false, false)
 			newcomer.Apply([]object.Object{{Key: "servers/ends", Version: 8, Deleted: true}})
 		}
-		changes, full, err := newcomer.Changes("servers", lags.Revision("servers"))
+		changes, full, err := newcomer.Changes("servers", lagging.Revision("servers"))
 		if err != nil || !full {
 			t.Fatalf("full %v, error %v", full, err)
 		}
-		lags.Replace("servers", changes, newcomer.Revision("servers"))
-		if known := lags.KnownVersions("servers"); len(known) != 2 || known["servers/b"] != 7 {
+		lagging.Replace("servers", changes, newcomer.Revision("servers"))
+		if known := lagging.KnownVersions("servers"); len(known) != 2 || known["servers/b"] != 7 {
 			t.Errorf("known in the end: %v", known)
 		}
 	}
