--- a/internal/peer/fetcher/fetcher.go
+++ b/internal/peer/fetcher/fetcher.go
@@ -1,21 +1,17 @@
-// Package fetcher takes over from peers what they know and this daemon lacks.
+// Package fetcher fetches from peers the objects that this daemon lacks.
 //
-// # Sources
+// Each peer that announces a higher revision is a source. A fetch asks one of them at random, so
+// dozens of daemons that lack the same change spread over those that have it, and each daemon
+// that has fetched it becomes a source. A source that is busy serving others is paused for a
+// moment, and the peers that it names are asked meanwhile.
 //
-// Each peer that tells of something newer is a source. A fetch asks one of them at
-// random: dozens of daemons that lag by the same change then spread over those that
-// have it, and whoever has it is a source for the others. A source that serves others
-// first is left alone for a moment, and the peers that it names are asked meanwhile.
-//
-// # News during a fetch
-//
-// News that comes while an answer is awaited leads to another fetch afterwards: were it
-// dropped, the daemon would lag until the next digest, which in a large fleet comes
-// seconds later, and send requests to endpoints that have long been leaving.
+// A revision that is announced during a fetch leads to another fetch afterwards. If it were
+// dropped, the daemon would lag until the next digest, which in a large fleet comes seconds
+// later, and send requests to endpoints that have long been leaving.
 //
 // # Usage
 //
-//	f := fetcher.New(fetcher.Config{Ask: supplier.Ask, ...})
+//	f := fetcher.New(fetcher.Config{RequestSnapshot: supplier.RequestSnapshot, ...})
 //	f.Want("10.1.0.4:8109", 24) // never blocks
 package fetcher
 
@@ -34,100 +30,99 @@
 )
 
 const (
-	// busyPause is how long a source that serves others first is left alone: it has
-	// sent what it had admitted within half a second. failedPause is that of one that
-	// failed.
+	// busyPause is how long a source that is busy serving others is paused: it has sent the
+	// answers that it had admitted within half a second. failedPause is how long a source is
+	// paused after a failure. Both are drawn between half and one and a half of that.
 	busyPause   = 100 * time.Millisecond
 	failedPause = 200 * time.Millisecond
-	// maxTries is how often a source is asked that fails, or has nothing newer.
-	maxTries = 3
-	// patience is how long a source counts that keeps serving others first; the next
-	// digest names it again.
-	patience = 10 * time.Second
-	// askOthers is how many other peers are asked instead of a source that fails.
-	askOthers = 2
+	// maxFailures is how often a source may fail, or have nothing newer, before it is dropped.
+	maxFailures = 3
+	// sourceLifetime is how long a source is kept that stays busy. The next digest adds it
+	// again.
+	sourceLifetime = 10 * time.Second
+	// otherPeersAsked is how many other peers are asked instead of a source that fails.
+	otherPeersAsked = 2
 )
 
-// Config names the fetcher's collaborators.
+// Config holds the fetcher's settings and the functions that it calls.
 type Config struct {
-	// Kind of the objects that are fetched.
+	// Kind is the kind of the objects that are fetched.
 	Kind string
-	// RequestSnapshot returns what a peer knows of a kind after a revision. A *supplier.BusyError
-	// says that it serves others first.
+	// RequestSnapshot returns what a peer knows of a kind after a revision. The error is a
+	// *supplier.BusyError if the peer is busy serving others.
 	RequestSnapshot func(ctx context.Context, address, kind string, after uint64) (*rpc.SnapshotReply, error)
-	// OtherPeers are peers to ask when a source fails.
+	// OtherPeers returns the addresses of peers to ask when a source fails.
 	OtherPeers func() []string
-	// KnownRevision is how far this daemon is, by the measure in which peers tell; SinceRevision the
-	// revision after which objects are wanted.
+	// KnownRevision returns how far this daemon is, in the same count as the revisions that
+	// peers announce. SinceRevision returns the revision after which objects are requested.
 	KnownRevision, SinceRevision func() uint64
-	// Apply takes in what the peer at an address knows.
-	Apply   func(address, kind string, r *rpc.SnapshotReply)
+	// Apply merges what the peer at an address sent.
+	Apply  func(address, kind string, r *rpc.SnapshotReply)
 	Logger *log.Logger
 }
 
-// source is a peer that is ahead.
+// source is a peer that has announced a higher revision.
 type source struct {
-	// told is how far it is, since when it has been known.
-	told  uint64
-	since time.Time
-	// rest is until when it is left alone.
-	rest  time.Time
-	tries int
+	// revision is the one that the peer announced, at addedAt.
+	revision uint64
+	addedAt  time.Time
+	// pausedUntil is the time before which the source is not asked.
+	pausedUntil time.Time
+	failures    int
 }
 
-// Fetcher fetches one kind of objects, one fetch at a time. It is safe for
-// concurrent use.
+// Fetcher fetches one kind of objects, one fetch at a time. It is safe for concurrent use.
 type Fetcher struct {
 	c Config
 
 	mu      sync.Mutex
-	busy    bool
+	running bool
 	sources map[string]*source
-	// woken is closed when a source comes.
-	woken chan struct{}
+	// sourceAdded is closed, and replaced, when a source is added.
+	sourceAdded chan struct{}
 }
 
-// New returns a fetcher that wants nothing.
+// New returns a fetcher without sources.
 func New(c Config) *Fetcher {
-	return &Fetcher{c: c, sources: make(map[string]*source), woken: make(chan struct{})}
+	return &Fetcher{c: c, sources: make(map[string]*source), sourceAdded: make(chan struct{})}
 }
 
-// Want fetches from the peer at an address, or another that is as far, now or after the
-// fetch under way.
-func (f *Fetcher) Want(address string, told uint64) {
+// Want fetches the objects up to a revision, now or after the fetch under way, from the peer at
+// an address or from another one that has them.
+func (f *Fetcher) Want(address string, revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.add(address, told)
-	if !f.busy {
-		f.busy = true
+	f.add(address, revision)
+	if !f.running {
+		f.running = true
 		go f.run()
 	}
 }
 
-// add makes a source known, which is news if it is further than before. The caller holds
-// the lock.
-func (f *Fetcher) add(address string, told uint64) {
+// add adds a source, unless it is known with that revision or a higher one. The caller holds the
+// lock.
+func (f *Fetcher) add(address string, revision uint64) {
 	s := f.sources[address]
-	if s != nil && s.told >= told {
+	if s != nil && s.revision >= revision {
 		return
 	}
-	f.sources[address] = &source{told: told, since: time.Now()}
-	close(f.woken)
-	f.woken = make(chan struct{})
+	f.sources[address] = &source{revision: revision, addedAt: time.Now()}
+	close(f.sourceAdded)
+	f.sourceAdded = make(chan struct{})
 }
 
-// run fetches until no source is ahead.
+// run fetches until no source has a higher revision.
 func (f *Fetcher) run() {
 	for {
-		address, told, pause, woken := f.next()
+		address, revision, pause, sourceAdded := f.next()
 		switch {
 		case address != "":
-			f.fetch(address, told)
+			f.fetch(address, revision)
 		case pause > 0:
 			timer := time.NewTimer(pause)
 			select {
 			case <-timer.C:
-			case <-woken:
+			case <-sourceAdded:
 			}
 			timer.Stop()
 		default:
@@ -136,8 +131,9 @@
 	}
 }
 
-// next picks a source, or tells how long to wait for one; neither if none is ahead.
-func (f *Fetcher) next() (address string, told uint64, pause time.Duration, woken <-chan struct{}) {
+// next returns a random source with its revision, or how long to wait for one and the channel
+// that is closed when one is added. It returns neither if no source has a higher revision.
+func (f *Fetcher) next() (address string, revision uint64, pause time.Duration, sourceAdded <-chan struct{}) {
 	known := f.c.KnownRevision()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -145,10 +141,10 @@
 	var free []string
 	for a, s := range f.sources {
 		switch {
-		case s.told <= known || now.Sub(s.since) > patience:
+		case s.revision <= known || now.Sub(s.addedAt) > sourceLifetime:
 			delete(f.sources, a)
-		case s.rest.After(now):
-			if left := s.rest.Sub(now); pause == 0 || left < pause {
+		case s.pausedUntil.After(now):
+			if left := s.pausedUntil.Sub(now); pause == 0 || left < pause {
 				pause = left
 			}
 		default:
@@ -157,41 +153,40 @@
 	}
 	if len(free) > 0 {
 		address = free[rand.IntN(len(free))]
-		return address, f.sources[address].told, 0, nil
+		return address, f.sources[address].revision, 0, nil
 	}
-	f.busy = pause > 0
-	return "", 0, pause, f.woken
+	f.running = pause > 0
+	return "", 0, pause, f.sourceAdded
 }
 
 // fetch asks a source once.
-func (f *Fetcher) fetch(address string, told uint64) {
+func (f *Fetcher) fetch(address string, revision uint64) {
 	began := time.Now()
 	reply, err := f.c.RequestSnapshot(context.Background(), address, f.c.Kind, f.c.SinceRevision())
 	took := time.Since(began).Milliseconds()
 	var busy *supplier.BusyError
 	switch {
 	case errors.As(err, &busy):
-		f.rest(address, busyPause, false)
-		f.instead(busy.Holders, told)
+		f.pauseSource(address, busyPause, false)
+		f.addAll(busy.Holders, revision)
 		return
 	case err != nil:
-		f.c.Logger.Warn("newer objects not fetched from a peer", "address", address, "kind", f.c.Kind, "told", told, "took_ms", took, "error", err)
-		f.rest(address, failedPause, true)
-		f.instead(f.others(), told)
+		f.c.Logger.Warn("newer objects not fetched from a peer", "address", address, "kind", f.c.Kind, "told", revision, "took_ms", took, "error", err)
+		f.pauseSource(address, failedPause, true)
+		f.addAll(f.sampleOtherPeers(), revision)
 		return
 	}
-	f.c.Logger.Info("newer objects fetched", "address", address, "kind", f.c.Kind, "told", told, "took_ms", took,
+	f.c.Logger.Info("newer objects fetched", "address", address, "kind", f.c.Kind, "told", revision, "took_ms", took,
 		"objects", len(reply.GetObjects()), "bytes", proto.Size(reply))
 	f.c.Apply(address, f.c.Kind, reply)
-	if f.c.KnownRevision() < told {
-		// It has less than was said, or is not as far yet.
-		f.rest(address, failedPause, true)
+	if f.c.KnownRevision() < revision {
+		// The peer has less than it announced, or does not have it yet.
+		f.pauseSource(address, failedPause, true)
 	}
 }
 
-// rest leaves a source alone for about a pause; one that has failed too often is
-// forgotten.
-func (f *Fetcher) rest(address string, pause time.Duration, failed bool) {
+// pauseSource pauses a source for about the given time, or drops it if it has failed too often.
+func (f *Fetcher) pauseSource(address string, pause time.Duration, failed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.sources[address]
@@ -199,27 +194,27 @@
 		return
 	}
 	if failed {
-		s.tries++
+		s.failures++
 	}
-	if s.tries >= maxTries {
+	if s.failures >= maxFailures {
 		delete(f.sources, address)
 		return
 	}
-	s.rest = time.Now().Add(pause/2 + rand.N(pause))
+	s.pausedUntil = time.Now().Add(pause/2 + rand.N(pause))
 }
 
-// instead makes peers known that may be as far as a source.
-func (f *Fetcher) instead(addresses []string, told uint64) {
+// addAll adds peers that may have a revision as sources.
+func (f *Fetcher) addAll(addresses []string, revision uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, a := range addresses {
-		f.add(a, told)
+		f.add(a, revision)
 	}
 }
 
-// others are some of the peers that answered lately.
-func (f *Fetcher) others() []string {
+// sampleOtherPeers returns up to otherPeersAsked random other peers.
+func (f *Fetcher) sampleOtherPeers() []string {
 	all := f.c.OtherPeers()
 	rand.Shuffle(len(all), func(i, k int) { all[i], all[k] = all[k], all[i] })
-	return all[:min(len(all), askOthers)]
+	return all[:min(len(all), otherPeersAsked)]
 }
--- a/internal/peer/fetcher/fetcher_test.go
+++ b/internal/peer/fetcher/fetcher_test.go
@@ -14,10 +14,10 @@
 	"brasschute/internal/peer/supplier"
 )
 
-// An engine begins to leave while a daemon fetches the news before. The note of it
-// came during the fetch and was dropped; for three seconds more the daemon sent
-// requests to the leaving engine.
-func TestNewsDuringAFetchIsFetchedToo(t *testing.T) {
+// An engine begins to leave while a daemon fetches an earlier change. The note of it came during
+// the fetch and was dropped, and for three seconds more the daemon sent requests to the leaving
+// engine.
+func TestRevisionAnnouncedDuringAFetchIsFetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		revision, taken := uint64(1), uint64(0)
 		answer := make(chan struct{})
@@ -41,12 +41,13 @@
 		answer <- struct{}{}
 		synctest.Wait()
 		if taken != 2 {
-			t.Errorf("revision %d is known, the peer has 2", taken)
+			t.Errorf("revision %d was fetched, the peer has 2", taken)
 		}
 	})
 }
 
-func TestOthersAreAskedWhenOneIsSilent(t *testing.T) {
+// The only source fails, and so does one of the other peers. The remaining one must be asked.
+func TestOtherPeersAreAskedAfterAFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		asked := make(map[string]int)
 		taken := uint64(0)
@@ -56,7 +57,7 @@
 			RequestSnapshot: func(_ context.Context, address, _ string, _ uint64) (*rpc.SnapshotReply, error) {
 				asked[address]++
 				if address != "c" {
-					return nil, errors.New("silent")
+					return nil, errors.New("no answer")
 				}
 				return nil, nil
 			},
@@ -71,10 +72,10 @@
 	})
 }
 
-// The only peer that has a new configuration serves others first. Its word for it, and
-// the peers that it has served meanwhile, must lead to the configuration without any
-// further news.
-func TestBusySourceNamesOthers(t *testing.T) {
+// The only peer that has a new configuration is busy serving others. Its announcement, and the
+// peers that it names as having been served, must lead to the configuration without another
+// announcement.
+func TestHoldersNamedByBusySourceAreAsked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		taken, from := uint64(0), ""
 		f := New(Config{
@@ -92,14 +93,14 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if taken != 7 || from != "b" {
-			t.Errorf("%d is known from %q, b has 7", taken, from)
+			t.Errorf("revision %d was fetched from %q, b has 7", taken, from)
 		}
 	})
 }
 
-// A peer says that it is ahead, and keeps refusing, or has nothing newer after all. It
-// must not be asked for ever.
-func TestUselessSourcesAreForgotten(t *testing.T) {
+// A peer announces a higher revision, but keeps failing or has nothing newer. It must be dropped
+// after a while.
+func TestFailingSourcesAreDropped(t *testing.T) {
 	for name, answer := range map[string]error{"fails": errors.New("refused"), "nothing newer": nil, "busy": &supplier.BusyError{Peer: "a"}} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -114,13 +115,13 @@
 					Apply: func(string, string, *rpc.SnapshotReply) {},
 				})
 				f.Want("a", 1)
-				time.Sleep(2 * patience)
+				time.Sleep(2 * sourceLifetime)
 				synctest.Wait()
 				before := asked
-				time.Sleep(patience)
+				time.Sleep(sourceLifetime)
 				synctest.Wait()
 				if asked != before || asked == 0 {
-					t.Errorf("asked %d times, %d of them after %v", asked, asked-before, 2*patience)
+					t.Errorf("asked %d times, %d of them after %v", asked, asked-before, 2*sourceLifetime)
 				}
 			})
 		})
