--- a/internal/peer/crashreporter/crashreporter.go
+++ b/internal/peer/crashreporter/crashreporter.go
@@ -1,20 +1,19 @@
-// Package reporter finds out whether endpoints ended under requests, and tells and hears of it.
+// Package crashreporter finds out whether endpoints crashed under requests, and exchanges the
+// findings with peers.
 //
-// # Findings
+// When an endpoint breaks off a request, a probe of its address (package prober) shows whether
+// its process has ended. Endpoints that are known to leave are not probed, as their end is
+// expected. Findings go to the quarantine (package quarantiner), which decides whether the
+// request gets further endpoints.
 //
-// A daemon sees that an endpoint broke a request off. Whether the endpoint's process ended is
-// found by a probe of its address (package prober); endpoints that are known to leave end as
-// they should. What is found goes to the quarantine (package quarantiner), which decides.
-//
-// # Messages
-//
-// [Reporter.RPCSuspects] is what a daemon puts into its messages to others, [Reporter.MergeSuspects] takes in
-// theirs. News is spread at once, by whatever way the fleet's daemons have.
+// [Reporter.RPCSuspects] returns the suspects that a daemon sends to others,
+// [Reporter.MergeSuspects] merges those of others. New findings are sent at once, through the
+// callback OnNews.
 //
 // # Usage
 //
-//	r := reporter.New(reporter.Config{Host: name, Dialer: d, Leaving: registry.Leaving, Spread: hurry, ...})
-//	r.ReportBreak(ctx, &reporter.Break{Fingerprint: f, Request: id, Pick: pick})
+//	r := crashreporter.New(crashreporter.Config{Host: name, Dialer: d, Leaving: registry.Leaving, OnNews: trigger, ...})
+//	r.ReportBreak(ctx, &crashreporter.BrokenRequest{Fingerprint: f, Request: id, Pick: pick})
 package crashreporter
 
 import (
@@ -34,23 +33,24 @@
 )
 
 const (
-	// linesPerSecond bounds the log lines; counters count all.
-	linesPerSecond = 20
-	// patience is how long a request waits for the finding, which decides whether it may go
-	// to another endpoint: some round trips between availability zones.
-	patience = 25 * time.Millisecond
+	// logLinesPerSecond bounds the log lines; the counters count all events.
+	logLinesPerSecond = 20
+	// maxProbeWait is how long a request waits for the result of the probe, which decides
+	// whether it may go to another endpoint: some round trips between availability zones.
+	maxProbeWait = 25 * time.Millisecond
 )
 
-// Config names the reporter's collaborators.
+// Config holds the reporter's settings and the components that it works with.
 type Config struct {
 	Host   identifier.Host
 	Dialer prober.Dialer
-	// Leaving tells whether an endpoint is known to leave.
+	// Leaving reports whether an endpoint is known to leave.
 	Leaving func(*registry.Pick) (deadline time.Time, leaving bool)
-	// Incarnation tells lives of an endpoint apart, in the same way at all daemons; the time of its
-	// start if nil.
+	// Incarnation returns the incarnation of an endpoint, the same at all daemons. If nil, it is
+	// the endpoint's start time.
 	Incarnation func(*registry.Pick) identifier.StartTime
-	// OnNews is told that there is news: of this daemon's own, or heard from another one.
+	// OnNews is called when suspects have changed. own is true for findings of this daemon,
+	// false for those of others.
 	OnNews  func(own bool)
 	Logger  *log.Logger
 	Metrics tally.Scope
@@ -61,32 +61,32 @@
 	Fingerprint identifier.Fingerprint
 	Request     identifier.Request
 	Pick        *registry.Pick
-	// Events counts what the endpoint had brought.
+	// Events is the number of events that the endpoint had sent.
 	Events int
 }
 
-// Reporter is one daemon's quarantine with all that it needs of others. It is safe for
+// Reporter is a daemon's quarantine with the probes and messages that feed it. It is safe for
 // concurrent use.
 type Reporter struct {
 	*quarantiner.Quarantiner
 
-	c      Config
-	prober *prober.Prober
-	lines  *rate.Limiter
+	c          Config
+	prober     *prober.Prober
+	logLimiter *rate.Limiter
 }
 
-// New returns a reporter that knows nothing.
+// New returns a reporter without suspects.
 func New(c Config) *Reporter {
 	if c.Incarnation == nil {
 		c.Incarnation = func(k *registry.Pick) identifier.StartTime { return k.Born }
 	}
-	r := &Reporter{c: c, prober: prober.New(prober.Config{Dialer: c.Dialer}), lines: rate.NewLimiter(linesPerSecond, linesPerSecond)}
-	r.Quarantiner = quarantiner.New(quarantiner.Config{Host: c.Host, OnChange: r.changed})
+	r := &Reporter{c: c, prober: prober.New(prober.Config{Dialer: c.Dialer}), logLimiter: rate.NewLimiter(logLinesPerSecond, logLinesPerSecond)}
+	r.Quarantiner = quarantiner.New(quarantiner.Config{Host: c.Host, OnChange: r.logChange})
 	return r
 }
 
-// ReportBreak looks whether an endpoint has ended that broke off a request. It returns when that is
-// found, or after [patience]; what is found later counts, too.
+// ReportBreak probes an endpoint that broke off a request. It returns when the result is known,
+// or after [maxProbeWait]; a later result counts, too.
 func (r *Reporter) ReportBreak(ctx context.Context, b *BrokenRequest) {
 	if _, leaving := r.c.Leaving(b.Pick); leaving {
 		return
@@ -94,9 +94,9 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.look(context.WithoutCancel(ctx), b)
+		r.probe(context.WithoutCancel(ctx), b)
 	}()
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(maxProbeWait)
 	defer timer.Stop()
 	select {
 	case <-done:
@@ -104,32 +104,33 @@
 	}
 }
 
-// look probes the endpoint that broke off a request.
-func (r *Reporter) look(ctx context.Context, b *BrokenRequest) {
+// probe probes the endpoint that broke off a request and records its end.
+func (r *Reporter) probe(ctx context.Context, b *BrokenRequest) {
 	found := r.prober.Probe(ctx, b.Pick.Address)
 	r.c.Metrics.Tagged(map[string]string{"probe": found.String()}).Counter("requests_broken_off").Inc(1)
 	if found == prober.Listening {
 		return
 	}
-	life := r.c.Incarnation(b.Pick)
-	if r.lines.Allow() {
-		r.c.Logger.Info("endpoint ended under a request", "request", b.Request, "fingerprint", b.Fingerprint, "endpoint", b.Pick.Endpoint,
-			"born", life, "events", b.Events, "probe", found)
+	incarnation := r.c.Incarnation(b.Pick)
+	if r.logLimiter.Allow() {
+		r.c.Logger.Info("endpoint crashed while running a request", "request", b.Request, "fingerprint", b.Fingerprint, "endpoint", b.Pick.Endpoint,
+			"born", incarnation, "events", b.Events, "probe", found)
 	}
-	e := quarantiner.Ending{Endpoint: b.Pick.Endpoint, Born: life, Weak: b.Events > 0}
+	e := quarantiner.Ending{Endpoint: b.Pick.Endpoint, Born: incarnation, Weak: b.Events > 0}
 	if found == prober.Refused && r.RecordEnding(b.Fingerprint, e) {
 		r.c.OnNews(true)
 	}
 }
 
-// Answered clears a request that an endpoint has run to its end.
+// Answered clears a request that an endpoint has run to completion.
 func (r *Reporter) Answered(f identifier.Fingerprint) {
-	if r.Quarantiner.RecordAnswer(f) {
+	if r.RecordAnswer(f) {
 		r.c.OnNews(true)
 	}
 }
 
-// Lift clears a request as an operator asks, and reports whether anything counted against it.
+// Lift clears a request at an operator's command, and reports whether any ending counted against
+// it.
 func (r *Reporter) Lift(f identifier.Fingerprint) bool {
 	lifted := r.Quarantiner.Lift(f)
 	r.c.Logger.Info("request lifted from quarantine", "fingerprint", f, "known", lifted)
@@ -139,19 +140,19 @@
 	return lifted
 }
 
-// changed notes that a request came to be held or free again.
-func (r *Reporter) changed(s *quarantiner.Suspect) {
-	message, state := "request free again", "free"
+// logChange logs and counts that a request was quarantined or released.
+func (r *Reporter) logChange(s *quarantiner.Suspect) {
+	message, state := "request released from quarantine", "free"
 	if s.Held {
-		message, state = "request held back from all endpoints", "held"
+		message, state = "request quarantined", "held"
 	}
 	r.c.Metrics.Tagged(map[string]string{"state": state}).Counter("quarantine_changes").Inc(1)
-	if r.lines.Allow() {
+	if r.logLimiter.Allow() {
 		r.c.Logger.Warn(message, "fingerprint", s.Fingerprint, "endings", describe(s.Endings))
 	}
 }
 
-// describe lists endings for the log.
+// describe returns endings as text for the log.
 func describe(endings []quarantiner.Ending) string {
 	out := make([]string, len(endings))
 	now := time.Now()
@@ -167,9 +168,9 @@
 	return strings.Join(out, "; ")
 }
 
-// RPCSuspects is what this daemon tells others.
+// RPCSuspects returns the suspects that this daemon sends to others.
 func (r *Reporter) RPCSuspects() []*rpc.Suspect {
-	list := r.Quarantiner.Updates()
+	list := r.Updates()
 	out := make([]*rpc.Suspect, len(list))
 	now := time.Now()
 	for i, s := range list {
@@ -184,19 +185,19 @@
 	return out
 }
 
-// MergeSuspects takes in what another daemon tells.
-func (r *Reporter) MergeSuspects(told []*rpc.Suspect) {
-	if len(told) == 0 {
+// MergeSuspects merges the suspects of another daemon.
+func (r *Reporter) MergeSuspects(suspects []*rpc.Suspect) {
+	if len(suspects) == 0 {
 		return
 	}
-	list := make([]quarantiner.Suspect, len(told))
+	list := make([]quarantiner.Suspect, len(suspects))
 	now := time.Now()
-	for i, s := range told {
+	for i, s := range suspects {
 		list[i].Fingerprint = identifier.Fingerprint(s.GetFingerprint())
 		for _, e := range s.GetEndings() {
 			list[i].Endings = append(list[i].Endings, quarantiner.Ending{
 				Endpoint: identifier.Endpoint(e.GetEndpoint()), Born: identifier.StartTime(e.GetBorn()), Seen: identifier.Host(e.GetHost()),
-				At: now.Add(-age(e)), Weak: e.GetWeak(), Void: e.GetVoid(),
+				At: now.Add(-endingAge(e)), Weak: e.GetWeak(), Void: e.GetVoid(),
 			})
 		}
 	}
@@ -205,7 +206,7 @@
 	}
 }
 
-// age is how long ago an ending was; a day for all that is older.
-func age(e *rpc.Ending) time.Duration {
+// endingAge returns the age of an ending, between zero and a day.
+func endingAge(e *rpc.Ending) time.Duration {
 	return time.Duration(min(max(e.GetAgeMilli(), 0), (24*time.Hour).Milliseconds())) * time.Millisecond
 }
--- a/internal/peer/crashreporter/crashreporter_test.go
+++ b/internal/peer/crashreporter/crashreporter_test.go
@@ -18,13 +18,13 @@
 	"github.com/uber-go/tally/v4"
 )
 
-// host refuses connections after a time, as that of a process that has ended does.
+// host is a dialer that refuses connections after a time, as the host of an ended process does.
 type host struct {
 	after time.Duration
 	err   error
 }
 
-// DialContext waits and answers.
+// DialContext waits, then fails or returns a connection that is closed at once.
 func (h host) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
 	select {
 	case <-time.After(h.after):
@@ -39,19 +39,21 @@
 	return near, nil
 }
 
-// newReporter counts what it spreads of its own.
-func newReporter(h host, leaving bool, spread *atomic.Int32) *Reporter {
+// newReporter returns a reporter that counts its own findings in spread.
+func newReporter(h host, leaving bool, ownNews *atomic.Int32) *Reporter {
 	return New(Config{
 		Host: "a", Dialer: h, Leaving: func(*registry.Pick) (time.Time, bool) { return time.Time{}, leaving },
 		OnNews: func(own bool) {
 			if own {
-				spread.Add(1)
+				ownNews.Add(1)
 			}
 		}, Logger: log.New(io.Discard), Metrics: tally.NoopScope,
 	})
 }
 
-func TestWhatCountsAsAnEnding(t *testing.T) {
+// Only a refused connection of an endpoint that is not leaving is an ending; resets, errors and
+// partitions are not. A slow probe must not delay the request, but its result must count.
+func TestOnlyRefusedProbesAreEndings(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		h       host
@@ -59,10 +61,10 @@
 		counts  bool
 	}{
 		{"the process has ended", host{time.Millisecond, syscall.ECONNREFUSED}, false, true},
-		{"it has ended, and a slow link tells it late", host{60 * time.Millisecond, syscall.ECONNREFUSED}, false, true},
-		{"it has ended as it should", host{time.Millisecond, syscall.ECONNREFUSED}, true, false},
+		{"it has ended, and the probe is slow", host{60 * time.Millisecond, syscall.ECONNREFUSED}, false, true},
+		{"it has ended after it was leaving", host{time.Millisecond, syscall.ECONNREFUSED}, true, false},
 		{"the connection was reset", host{time.Millisecond, nil}, false, false},
-		{"the answer was spoilt", host{time.Millisecond, nil}, false, false},
+		{"the answer was corrupt", host{time.Millisecond, nil}, false, false},
 		{"the availability zone is cut off", host{time.Minute, nil}, false, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,7 +73,7 @@
 				r := newReporter(c.h, c.leaving, &spread)
 				begun := time.Now()
 				r.ReportBreak(t.Context(), &BrokenRequest{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}})
-				if took := time.Since(begun); took > patience {
+				if took := time.Since(begun); took > maxProbeWait {
 					t.Errorf("the request was held up for %v", took)
 				}
 				time.Sleep(time.Second)
@@ -83,7 +85,7 @@
 	}
 }
 
-// A stream had brought events when its engine ended: most likely it was another request that
+// An endpoint had sent events of a stream when its engine ended: most likely another request
 // ended it.
 func TestEndingAfterEventsIsWeak(t *testing.T) {
 	for events, weak := range map[int]bool{0: false, 3: true} {
@@ -98,8 +100,8 @@
 	}
 }
 
-// Messages of others may be of a later version, or wrong.
-func TestUnlikelyMessagesAreLeftOut(t *testing.T) {
+// Messages of other daemons may be of a later version, or faulty.
+func TestInvalidSuspectsAreIgnored(t *testing.T) {
 	var spread atomic.Int32
 	r := newReporter(host{}, false, &spread)
 	many := make([]*rpc.Ending, 100)
--- a/internal/peer/supplier/supplier.go
+++ b/internal/peer/supplier/supplier.go
@@ -1,18 +1,17 @@
-// Package supplier hands objects of the platform's store from daemon to daemon.
+// Package supplier exchanges objects of the platform's store between daemons.
 //
-// # Both sides
+// [Supplier.Snapshot] answers a peer with the objects that it lacks, compressed if they are
+// large. [Supplier.RequestSnapshot] requests them from a peer. A daemon whose link is in use
+// says that it is busy, and names peers that it has served and that therefore have the objects
+// ([BusyError]).
 //
-// [Supplier.Snapshot] answers a peer with what it lacks, packed if that is large;
-// [Supplier.RequestSnapshot] asks a peer. A daemon whose link is taken says that it is busy, and
-// names peers that it has served: they have what is asked for ([BusyError]).
-//
-// A peer of the version before does not know packed answers: it gets plain ones, and an
-// error where this one would be called busy.
+// Peers of the previous version do not read packed answers. They get plain ones, and an error
+// where a peer of this version would be told that the daemon is busy.
 //
 // # Usage
 //
 //	s := supplier.New(supplier.Config{Objects: &mirror, Throttler: t, Client: w, ...})
-//	reply, err := s.Ask(ctx, "10.1.0.4:8109", "config", 0)
+//	reply, err := s.RequestSnapshot(ctx, "10.1.0.4:8109", "config", 0)
 package supplier
 
 import (
@@ -34,95 +33,100 @@
 )
 
 const (
-	// packFrom is the size from which on an answer is packed: below, a packet or two
-	// are not worth the processor time.
-	packFrom = 4 << 10
-	// askTime bounds a call whose bytes keep coming: the largest object over a link of
-	// 10 Mbit/s that is nine tenths taken, halved by packing.
-	askTime = 5 * time.Second
-	// maxHolders is how many peers are named to those that are not served, keepPacked
-	// how many answers are kept in packed form.
-	maxHolders = 8
-	keepPacked = 4
-	// linesPerSecond bounds the log lines: a fleet of sixty asks within a second.
-	linesPerSecond = 20
+	// minPackedSize is the size from which on an answer is compressed. Smaller ones take a
+	// packet or two, and are not worth the processor time.
+	minPackedSize = 4 << 10
+	// requestTimeout bounds a call while its bytes arrive: the largest object, halved by
+	// compression, over a link of 10 Mbit/s that is nine tenths in use.
+	requestTimeout = 5 * time.Second
+	// maxHolders is how many peers are named to a peer that is not served, maxPackedReplies how
+	// many compressed answers are kept.
+	maxHolders       = 8
+	maxPackedReplies = 4
+	// logLinesPerSecond bounds the log lines, as a fleet of sixty daemons asks within a second.
+	logLinesPerSecond = 20
 )
 
-// Objects are the store's objects as this daemon knows them.
+// Objects gives access to the store's objects as this daemon knows them.
 type Objects interface {
-	// Changes returns the changes of a kind after a revision; full if they are all.
+	// Changes returns the changes of a kind after a revision, or all objects and full.
 	Changes(kind string, after uint64) (changes []object.Object, full bool, err error)
+	// Revision returns the revision up to which all changes of a kind are known.
 	Revision(kind string) uint64
 }
 
-// Throttler admits large answers.
+// Throttler limits the large answers that are sent at a time.
 type Throttler interface {
+	// Admit reports whether an answer of that many bytes may be sent now.
 	Admit(ctx context.Context, bytes int) bool
 }
 
-// Config names the supplier's collaborators.
+// Config holds the supplier's settings and the components that it works with.
 type Config struct {
-	// Address is this daemon's own.
+	// Address is this daemon's own peer address, as IP:port.
 	Address string
 	Objects Objects
-	// Kinds are those that a peer gets that asks for all.
+	// Kinds are the kinds that a peer gets if it asks for no particular one.
 	Kinds     []string
 	Throttler Throttler
-	// Client makes the calls; it should give up when nothing comes.
+	// Client makes the calls. It should end a call whose answer stops arriving.
 	Client interface {
 		Do(r *http.Request) (*http.Response, error)
 	}
 	Logger *log.Logger
 }
 
-// Supplier hands out objects and asks for them. It is safe for concurrent use.
+// Supplier answers requests for objects and makes them. It is safe for concurrent use.
 type Supplier struct {
-	c      Config
-	packer compressor.Compressor
-	lines  *rate.Limiter
+	c          Config
+	compressor compressor.Compressor
+	logLimiter *rate.Limiter
 
 	mu sync.Mutex
 	// holders are the peers served last, by kind.
-	holders map[string]holders
-	// packed are answers in packed form, newest last.
+	holders map[string]holderList
+	// packed holds compressed replies, the newest last.
 	packed []packedReply
 }
 
-// holders are peers that were served up to a revision. Those that have an older one are
-// not named: whoever asked them would fill its link with what it has already.
-type holders struct {
+// holderList holds peers that were served up to a revision. Those served up to an older one are
+// not named, since they would send a peer what it has already.
+type holderList struct {
 	revision  uint64
 	addresses []string
 }
 
-// question is what a peer asked; the answer to it is the same as long as the revision is.
-type question struct {
+// replyKey identifies a request and the revision of its reply, which determine the reply.
+type replyKey struct {
 	kind            string
 	after, revision uint64
 	full            bool
 }
 
+// packedReply is a compressed reply.
 type packedReply struct {
-	question
+	replyKey
 	bytes []byte
 }
 
-// BusyError means that a peer serves others first.
+// BusyError means that a peer is busy serving others.
 type BusyError struct {
 	Peer string
-	// Holders are peers that have what was asked for.
+	// Holders are the addresses of peers that have what was requested.
 	Holders []string
 }
 
-// Error names the peer.
+// Error returns a message with the peer's address.
 func (e *BusyError) Error() string { return fmt.Sprintf("%s serves others first", e.Peer) }
 
-// New returns a supplier.
+// New returns a supplier that has served no peer.
 func New(c Config) *Supplier {
-	return &Supplier{c: c, holders: make(map[string]holders), lines: rate.NewLimiter(linesPerSecond, linesPerSecond)}
+	return &Supplier{c: c, holders: make(map[string]holderList), logLimiter: rate.NewLimiter(logLinesPerSecond, logLinesPerSecond)}
 }
 
-// Snapshot answers a peer that lacks objects.
+// Snapshot returns the objects that a peer lacks, or a busy reply if the throttler does not
+// admit them. It fails with twirp.Unavailable while a list of the objects is uncertain, and with
+// twirp.ResourceExhausted instead of a busy reply to a peer that does not read one.
 func (s *Supplier) Snapshot(ctx context.Context, r *rpc.SnapshotRequest) (*rpc.SnapshotReply, error) {
 	reply, err := s.reply(r.GetKind(), r.GetAfter())
 	if err != nil {
@@ -130,28 +134,28 @@
 	}
 	objects, plain, revision := len(reply.GetObjects()), proto.Size(reply), reply.GetRevision()
 	size := plain
-	if r.GetPacked() && plain >= packFrom {
+	if r.GetPacked() && plain >= minPackedSize {
 		if reply, err = s.pack(r, reply); err != nil {
 			return nil, twirp.InternalErrorWith(err)
 		}
 		size = len(reply.GetPacked())
 	}
 	admitted := s.c.Throttler.Admit(ctx, size)
-	if s.lines.Allow() {
-		s.c.Logger.Info("objects handed out", "kind", r.GetKind(), "after", r.GetAfter(), "peer", r.GetAddress(),
+	if s.logLimiter.Allow() {
+		s.c.Logger.Info("snapshot request answered", "kind", r.GetKind(), "after", r.GetAfter(), "peer", r.GetAddress(),
 			"objects", objects, "bytes", plain, "sent_bytes", size, "busy", !admitted)
 	}
 	switch {
 	case admitted:
-		s.served(r, revision)
+		s.recordHolder(r, revision)
 		return reply, nil
 	case !r.GetPacked():
 		return nil, twirp.NewError(twirp.ResourceExhausted, "others are served first")
 	}
-	return &rpc.SnapshotReply{Busy: true, Holders: s.holding(r, revision)}, nil
+	return &rpc.SnapshotReply{Busy: true, Holders: s.otherHolders(r, revision)}, nil
 }
 
-// reply collects what a peer lacks of a kind, or of all kinds if it is empty.
+// reply returns the objects of a kind, or of all kinds if it is empty, that a peer lacks.
 func (s *Supplier) reply(kind string, after uint64) (*rpc.SnapshotReply, error) {
 	kinds := []string{kind}
 	if kind == "" {
@@ -171,14 +175,14 @@
 	return out, nil
 }
 
-// pack returns a reply in packed form. Those of one kind are kept: dozens of peers ask
+// pack returns a reply in compressed form. Replies for one kind are kept, as dozens of peers ask
 // for the same within a second.
 func (s *Supplier) pack(r *rpc.SnapshotRequest, reply *rpc.SnapshotReply) (*rpc.SnapshotReply, error) {
-	q := question{r.GetKind(), r.GetAfter(), reply.GetRevision(), reply.GetFull()}
+	key := replyKey{r.GetKind(), r.GetAfter(), reply.GetRevision(), reply.GetFull()}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, p := range s.packed {
-		if p.question == q && q.kind != "" {
+		if p.replyKey == key && key.kind != "" {
 			return &rpc.SnapshotReply{Packed: p.bytes}, nil
 		}
 	}
@@ -186,19 +190,19 @@
 	if err != nil {
 		return nil, fmt.Errorf("supplier: %w", err)
 	}
-	bytes, err := s.packer.Compress(raw)
+	bytes, err := s.compressor.Compress(raw)
 	if err != nil {
 		return nil, fmt.Errorf("supplier: %w", err)
 	}
-	s.packed = append(s.packed, packedReply{q, bytes})
-	if len(s.packed) > keepPacked {
+	s.packed = append(s.packed, packedReply{key, bytes})
+	if len(s.packed) > maxPackedReplies {
 		s.packed = s.packed[1:]
 	}
 	return &rpc.SnapshotReply{Packed: bytes}, nil
 }
 
-// served notes a peer that has a kind's objects up to a revision now.
-func (s *Supplier) served(r *rpc.SnapshotRequest, revision uint64) {
+// recordHolder records that a peer has a kind's objects up to a revision.
+func (s *Supplier) recordHolder(r *rpc.SnapshotRequest, revision uint64) {
 	if r.GetAddress() == "" {
 		return
 	}
@@ -206,15 +210,15 @@
 	defer s.mu.Unlock()
 	h := s.holders[r.GetKind()]
 	if h.revision != revision {
-		h = holders{revision: revision}
+		h = holderList{revision: revision}
 	}
 	h.addresses = append(without(h.addresses, r.GetAddress()), r.GetAddress())
 	h.addresses = h.addresses[max(0, len(h.addresses)-maxHolders):]
 	s.holders[r.GetKind()] = h
 }
 
-// holding lists other peers that were served up to a revision.
-func (s *Supplier) holding(r *rpc.SnapshotRequest, revision uint64) []string {
+// otherHolders returns the other peers that were served up to a revision.
+func (s *Supplier) otherHolders(r *rpc.SnapshotRequest, revision uint64) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	h := s.holders[r.GetKind()]
@@ -224,15 +228,16 @@
 	return without(h.addresses, r.GetAddress())
 }
 
-// without copies a list but for one address.
+// without returns a copy of a list without one address.
 func without(list []string, address string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(a string) bool { return a == address })
 }
 
-// RequestSnapshot returns what the peer at an address knows of a kind, or of all kinds, after a
-// revision. The error is a *BusyError if it serves others first.
+// RequestSnapshot requests the objects of a kind, or of all kinds if it is empty, that changed
+// after a revision, from the peer at an address. The error is a *BusyError if the peer is busy
+// serving others.
 func (s *Supplier) RequestSnapshot(ctx context.Context, address, kind string, after uint64) (*rpc.SnapshotReply, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	reply, err := rpc.NewFleetProtobufClient("http://"+address, s.c.Client).Snapshot(ctx, &rpc.SnapshotRequest{
 		Kind: kind, After: after, Packed: true, Address: s.c.Address,
@@ -245,7 +250,7 @@
 	case len(reply.GetPacked()) == 0:
 		return reply, nil
 	}
-	raw, err := s.packer.Decompress(reply.GetPacked())
+	raw, err := s.compressor.Decompress(reply.GetPacked())
 	if err != nil {
 		return nil, fmt.Errorf("snapshot of %s: %w", address, err)
 	}
--- a/internal/peer/supplier/supplier_test.go
+++ b/internal/peer/supplier/supplier_test.go
@@ -18,12 +18,12 @@
 	"github.com/charmbracelet/log"
 )
 
-// gate admits answers or not.
+// gate is a throttler that admits all answers or none.
 type gate bool
 
 func (g *gate) Admit(context.Context, int) bool { return bool(*g) }
 
-// fleet answers for a supplier alone.
+// fleet implements rpc.Fleet with a supplier's Snapshot only.
 type fleet struct {
 	rpc.Fleet
 	s *Supplier
@@ -33,15 +33,16 @@
 	return f.s.Snapshot(ctx, r)
 }
 
-// peer starts a daemon that knows objects.
-func peer(t *testing.T, open *gate, objects ...object.Object) (address string) {
+// startPeer starts a daemon that has some objects.
+func startPeer(t *testing.T, open *gate, objects ...object.Object) (address string) {
 	t.Helper()
 	m := new(mirror.Mirror)
 	m.Apply(objects)
-	return peerOf(t, open, m)
+	return startPeerWith(t, open, m)
 }
 
-func peerOf(t *testing.T, open *gate, m *mirror.Mirror) (address string) {
+// startPeerWith starts a daemon that has a mirror's objects.
+func startPeerWith(t *testing.T, open *gate, m *mirror.Mirror) (address string) {
 	t.Helper()
 	s := New(Config{Objects: m, Kinds: []string{"config", "servers"}, Throttler: open, Logger: log.New(io.Discard)})
 	server := httptest.NewServer(rpc.NewFleetServer(fleet{s: s}))
@@ -49,17 +50,18 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func asker(address string) *Supplier {
+// newRequester returns a supplier that requests objects.
+func newRequester(address string) *Supplier {
 	open := gate(true)
 	return New(Config{Address: address, Client: http.DefaultClient, Throttler: &open, Objects: new(mirror.Mirror), Logger: log.New(io.Discard)})
 }
 
 var large = object.Object{Key: "config/main", Version: 9, Value: bytes.Repeat([]byte(`{"Name":"a","Kind":"idempotent"}`), 4000)}
 
-func TestObjectsComeWhole(t *testing.T) {
+func TestRequestedObjectsAreReturned(t *testing.T) {
 	open := gate(true)
 	small := object.Object{Key: "servers/i-1", Version: 4, Value: []byte(`{}`)}
-	address := peer(t, &open, large, small)
+	address := startPeer(t, &open, large, small)
 	for _, c := range []struct {
 		kind   string
 		after  uint64
@@ -70,7 +72,7 @@
 		{"servers", 4, nil},
 		{"", 0, []object.Object{large, small}},
 	} {
-		reply, err := asker("").RequestSnapshot(t.Context(), address, c.kind, c.after)
+		reply, err := newRequester("").RequestSnapshot(t.Context(), address, c.kind, c.after)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -96,30 +98,30 @@
 	}
 	reply, err = s.Snapshot(t.Context(), &rpc.SnapshotRequest{Kind: "config"})
 	if err != nil || len(reply.GetObjects()) != 1 || len(reply.GetPacked()) > 0 {
-		t.Errorf("a peer of the version before gets %d objects, %d packed bytes, error %v", len(reply.GetObjects()), len(reply.GetPacked()), err)
+		t.Errorf("a peer of the previous version gets %d objects, %d packed bytes, error %v", len(reply.GetObjects()), len(reply.GetPacked()), err)
 	}
 }
 
-// The first daemon that has a new configuration can't serve all at once. Those that it
-// turns away must learn where else it is, or they come back to the same link.
-func TestBusyPeerNamesThoseItHasServed(t *testing.T) {
+// The first daemon that has a new configuration can't serve all others at once. Those that it
+// does not serve must learn where else to get it, or they come back to the same link.
+func TestBusyPeerNamesHolders(t *testing.T) {
 	open := gate(true)
-	address := peer(t, &open, large)
+	address := startPeer(t, &open, large)
 	for _, one := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
-		if _, err := asker(one).RequestSnapshot(t.Context(), address, "config", 0); err != nil {
+		if _, err := newRequester(one).RequestSnapshot(t.Context(), address, "config", 0); err != nil {
 			t.Fatal(err)
 		}
 	}
 	open = false
 	var busy *BusyError
-	if _, err := asker("10.0.0.2:1").RequestSnapshot(t.Context(), address, "config", 0); !errors.As(err, &busy) || !slices.Equal(busy.Holders, []string{"10.0.0.1:1"}) {
+	if _, err := newRequester("10.0.0.2:1").RequestSnapshot(t.Context(), address, "config", 0); !errors.As(err, &busy) || !slices.Equal(busy.Holders, []string{"10.0.0.1:1"}) {
 		t.Errorf("error %v, the other peer is expected in it: %+v", err, busy)
 	}
 }
 
-// A daemon of the version before would take a busy reply for "nothing new" and never ask
+// A daemon of the previous version would take a busy reply for "nothing new" and never ask
 // again.
-func TestOldPeersAreRefusedWithAnError(t *testing.T) {
+func TestBusyForOldPeersIsAnError(t *testing.T) {
 	open := gate(false)
 	m := new(mirror.Mirror)
 	m.Apply([]object.Object{large})
@@ -129,27 +131,27 @@
 	}
 }
 
-func TestObjectsInDoubtAreNotHandedOut(t *testing.T) {
+func TestUncertainObjectsAreNotSent(t *testing.T) {
 	open := gate(true)
 	m := new(mirror.Mirror)
 	m.Apply([]object.Object{large})
 	m.BeginList("config", 12, true, true)
 	s := New(Config{Objects: m, Throttler: &open, Logger: log.New(io.Discard)})
 	if _, err := s.Snapshot(t.Context(), &rpc.SnapshotRequest{Kind: "config", After: 3, Packed: true}); err == nil {
-		t.Error("a list in doubt was passed on")
+		t.Error("an uncertain list was sent")
 	}
 }
 
-// A configuration grows while a peer is busy with it. It named those that it had served
-// with the one before: whoever lagged fetched that from one after the other, copies of
-// what it had, while the new one was to be had elsewhere; one daemon of forty was behind
-// for more than three seconds in 3 runs of 25.
-func TestHoldersOfAnEarlierVersionAreNotNamed(t *testing.T) {
+// A configuration changes while a peer is busy sending it. The peer named those that it had
+// served with the former one, and daemons that lagged fetched that from one after the other,
+// copies of what they had, while others had the new one. In 3 of 25 runs one daemon of forty was
+// behind for more than three seconds.
+func TestHoldersOfAnOlderRevisionAreNotNamed(t *testing.T) {
 	open, m := gate(true), new(mirror.Mirror)
 	m.Apply([]object.Object{large})
-	address := peerOf(t, &open, m)
+	address := startPeerWith(t, &open, m)
 	ask := func(from string) error {
-		_, err := asker(from).RequestSnapshot(t.Context(), address, "config", 0)
+		_, err := newRequester(from).RequestSnapshot(t.Context(), address, "config", 0)
 		return err
 	}
 	if err := ask("10.0.0.1:1"); err != nil {
@@ -161,7 +163,7 @@
 	open = false
 	var busy *BusyError
 	if err := ask("10.0.0.2:1"); !errors.As(err, &busy) || len(busy.Holders) > 0 {
-		t.Errorf("error %v, holders of the version before: %+v", err, busy)
+		t.Errorf("error %v, holders of the older version: %+v", err, busy)
 	}
 	open = true
 	if err := ask("10.0.0.3:1"); err != nil {
