--- a/internal/peer/retainer/retainer.go
+++ b/internal/peer/retainer/retainer.go
@@ -1,25 +1,19 @@
-// Package holder keeps the state of interrupted requests for a while.
+// Package retainer keeps the state of interrupted requests until their clients return.
 //
-// # What is kept
+// When an entry host is reclaimed in mid-stream, its daemon hands the state of each stream to
+// peers, and the client comes back to any daemon with a resume token that names them. A daemon
+// also keeps the state of a stream whose client connection broke. Neither is stored on the
+// platform, as it is of use only for as long as a client may still come back.
 //
-// When an entry host is reclaimed in mid-stream, its daemon hands the state
-// of each stream to peers, and the caller comes back to any daemon with a
-// resume token that names them. A daemon also keeps the state of a stream
-// whose caller's connection broke. Neither is stored on the platform: it is
-// worth keeping only for as long as a caller would still come back.
-//
-// # Bounds
-//
-// Entries live for a set time and share a budget of bytes. When the budget is
-// spent a new entry is refused, so that whoever hands over can ask the next
-// peer; an old entry is never dropped to make room, as its caller has been
-// promised that it is here.
+// Entries are kept for a set time and share a budget of bytes. When the budget is spent, new
+// entries are refused, so that the daemon that hands them over can ask the next peer. An old
+// entry is never dropped to make room, as its client has been promised that it is here.
 //
 // # Usage
 //
-//	h := holder.New(holder.Config{})
-//	kept := h.Keep(envelope)
-//	envelope, ok := h.Fetch(organisation, request)
+//	r := retainer.New(retainer.Config{})
+//	kept := r.Keep(envelope)
+//	envelope, ok := r.Fetch(organisation, request)
 package retainer
 
 import (
@@ -39,12 +33,13 @@
 
 // Config bounds what is kept.
 type Config struct {
-	// Lifetime is how long an entry waits for its caller; 2 min if zero.
+	// Lifetime is how long an entry is kept; 2 min if zero.
 	Lifetime time.Duration
-	// Bytes bounds the sum of all entries; 32 MiB if zero.
+	// Bytes bounds the sum of all entries' sizes; 32 MiB if zero.
 	Bytes int
 }
 
+// entry is an envelope with its size in bytes.
 type entry struct {
 	envelope *rpc.Envelope
 	bytes    int
@@ -65,7 +60,7 @@
 	bytes   int
 }
 
-// New returns an empty holder.
+// New returns an empty retainer.
 func New(c Config) *Retainer {
 	if c.Lifetime == 0 {
 		c.Lifetime = defaultLifetime
@@ -76,49 +71,50 @@
 	return &Retainer{c: c, entries: make(map[key]entry)}
 }
 
-// Keep stores an envelope, replacing one of the same request that has fewer
-// tokens. It reports false when there is no room.
-func (h *Retainer) Keep(e *rpc.Envelope) bool {
+// Keep keeps an envelope, in place of one of the same request that has fewer tokens. It reports
+// whether the request's state is kept; false means that there is no room.
+func (r *Retainer) Keep(e *rpc.Envelope) bool {
 	k := key{identifier.Organisation(e.Organisation), identifier.Request(e.Request)}
 	n := proto.Size(e)
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.expire(time.Now())
-	old := h.entries[k]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.expire(time.Now())
+	old := r.entries[k]
 	if old.envelope != nil && len(old.envelope.Delivered) > len(e.Delivered) {
 		return true
 	}
-	if h.bytes-old.bytes+n > h.c.Bytes {
+	if r.bytes-old.bytes+n > r.c.Bytes {
 		return false
 	}
-	h.bytes += n - old.bytes
-	h.entries[k] = entry{e, n, time.Now().Add(h.c.Lifetime)}
+	r.bytes += n - old.bytes
+	r.entries[k] = entry{e, n, time.Now().Add(r.c.Lifetime)}
 	return true
 }
 
-// Fetch returns an envelope, which stays kept: the daemon that fetched it may
-// die before its caller has everything.
-func (h *Retainer) Fetch(o identifier.Organisation, r identifier.Request) (*rpc.Envelope, bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.expire(time.Now())
-	e, ok := h.entries[key{o, r}]
+// Fetch returns a request's envelope. It stays kept, as the daemon that fetches it may end
+// before the client has the whole answer.
+func (r *Retainer) Fetch(organisation identifier.Organisation, request identifier.Request) (*rpc.Envelope, bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.expire(time.Now())
+	e, ok := r.entries[key{organisation, request}]
 	return e.envelope, ok
 }
 
-// Drop forgets a request that has been answered whole.
-func (h *Retainer) Drop(o identifier.Organisation, r identifier.Request) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.bytes -= h.entries[key{o, r}].bytes
-	delete(h.entries, key{o, r})
+// Drop drops the envelope of a request that has been answered in full.
+func (r *Retainer) Drop(organisation identifier.Organisation, request identifier.Request) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.bytes -= r.entries[key{organisation, request}].bytes
+	delete(r.entries, key{organisation, request})
 }
 
-func (h *Retainer) expire(now time.Time) {
-	for k := range h.entries {
-		if e := h.entries[k]; now.After(e.expires) {
-			h.bytes -= e.bytes
-			delete(h.entries, k)
+// expire drops the entries whose lifetime has passed.
+func (r *Retainer) expire(now time.Time) {
+	for k := range r.entries {
+		if e := r.entries[k]; now.After(e.expires) {
+			r.bytes -= e.bytes
+			delete(r.entries, k)
 		}
 	}
 }
--- a/internal/peer/throttler/throttler.go
+++ b/internal/peer/throttler/throttler.go
@@ -1,17 +1,15 @@
-// Package throttler bounds the bytes of large answers that a daemon sends at once.
+// Package throttler bounds the bytes of large answers that a daemon sends at a time.
 //
-// # Why
-//
-// When a large configuration changes, dozens of daemons ask the first one that has it.
-// If all are served together, each gets a fiftieth of the link, none is done within
-// seconds, and the answers to callers wait behind them. If only so many are served as
-// the link carries in [burst], those are done soon and serve others in their turn, so
-// the holders double with each step.
+// When a large configuration changes, dozens of daemons ask the first one that has it. If all
+// were served at a time, each would get a fiftieth of the link, none would be done within
+// seconds, and the answers to clients would wait behind them. If only as many are served as the
+// link carries in [burstTime], these are done soon and serve others in turn, so the daemons that
+// have it double with each step.
 //
 // # Usage
 //
 //	t := throttler.New(throttler.Config{BytesPerSecond: 1.25e6})
-//	handler = t.Handler(handler) // what was admitted counts until the answer is written
+//	handler = t.Handler(handler) // admitted bytes count until the answer is written
 //	if !t.Admit(ctx, len(answer)) { say that the daemon is busy }
 package throttler
 
@@ -23,72 +21,75 @@
 )
 
 const (
-	// burst is how long the link may be taken by what was admitted: a sixth of the
-	// three seconds within which a configuration has to be in force, so that several
-	// steps from daemon to daemon fit in.
-	burst = 500 * time.Millisecond
-	// firstRate is that of the narrowest link of a host known, 10 Mbit/s; it stands in
-	// where the settings name none.
-	firstRate = 1.25e6
-	// small answers always go out: changes of a few endpoints must not wait.
-	small = 16 << 10
+	// burstTime is how long the admitted answers may occupy the link: a sixth of the 3 s within
+	// which a configuration has to be in force, so that several steps from daemon to daemon fit
+	// in.
+	burstTime = 500 * time.Millisecond
+	// defaultBytesPerSecond is the rate of the narrowest link of any known host, 10 Mbit/s. It
+	// applies where the settings name none.
+	defaultBytesPerSecond = 1.25e6
+	// exemptBytes is the size up to which answers are always admitted: changes of a few
+	// endpoints must not wait.
+	exemptBytes = 16 << 10
 )
 
 // Config describes the link.
 type Config struct {
-	// BytesPerSecond is the rate of the host's link; 0 if not known.
+	// BytesPerSecond is the rate of the host's link; 1.25e6 if zero or negative.
 	BytesPerSecond float64
 }
 
 // Throttler admits answers. It is safe for concurrent use.
 type Throttler struct {
-	limit int
+	maxSendingBytes int
 
-	mu      sync.Mutex
-	sending int
+	mu           sync.Mutex
+	sendingBytes int
 }
 
-// New returns a throttler that has admitted nothing.
+// New returns a throttler that has admitted no answer.
 func New(c Config) *Throttler {
 	if c.BytesPerSecond <= 0 {
-		c.BytesPerSecond = firstRate
+		c.BytesPerSecond = defaultBytesPerSecond
 	}
-	return &Throttler{limit: int(c.BytesPerSecond * burst.Seconds())}
+	return &Throttler{maxSendingBytes: int(c.BytesPerSecond * burstTime.Seconds())}
 }
 
 type answerKey struct{}
 
-// answer is what was admitted for one call.
+// answer counts the bytes admitted for one call.
 type answer struct{ bytes int }
 
-// Handler lets a handler admit its answers, which count until they are written.
+// Handler returns a handler whose calls may use Admit. Admitted bytes count until next returns.
 func (t *Throttler) Handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		a := new(answer)
-		defer t.done(a)
+		defer t.release(a)
 		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), answerKey{}, a)))
 	})
 }
 
-// Admit tells whether an answer of so many bytes may be sent now. One that is larger
-// than the limit goes out when nothing else does.
+// Admit reports whether an answer of that many bytes may be sent now. An answer larger than the
+// limit is admitted when no other one is being sent. Outside of a call of [Throttler.Handler]
+// all are admitted and not counted.
 func (t *Throttler) Admit(ctx context.Context, bytes int) bool {
 	a, ok := ctx.Value(answerKey{}).(*answer)
-	if !ok || bytes <= small {
+	if !ok || bytes <= exemptBytes {
 		return true
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.sending > 0 && t.sending+bytes > t.limit {
+	if t.sendingBytes > 0 && t.sendingBytes+bytes > t.maxSendingBytes {
 		return false
 	}
-	t.sending += bytes
+	t.sendingBytes += bytes
 	a.bytes += bytes
 	return true
 }
 
-func (t *Throttler) done(a *answer) {
+// release returns the bytes of a call.
+func (t *Throttler) release(a *answer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sending -= a.bytes
+	t.sendingBytes -= a.bytes
 }
--- a/internal/peer/throttler/throttler_test.go
+++ b/internal/peer/throttler/throttler_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// call runs a handler within the throttler, as long as the test does not end it.
+// call runs a handler within the throttler until end is called.
 func call(t *Throttler, bytes int) (admitted bool, end func()) {
 	result, finish, done := make(chan bool), make(chan struct{}), make(chan struct{})
 	h := t.Handler(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -24,9 +24,9 @@
 	return admitted, func() { close(finish); <-done }
 }
 
-// Sixty daemons ask for a megabyte at once. Were all served together, none would be done
+// Sixty daemons ask for a megabyte at the same time. If all were served, none would be done
 // within seconds.
-func TestLargeAnswersAreAdmittedAsTheLinkCarriesThem(t *testing.T) {
+func TestAdmittedAnswersFitTheLink(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		rate   float64
@@ -37,7 +37,7 @@
 		{"wide link", 25e6, 50e3, 60},
 		{"narrow link, large answer", 1.25e6, 1e6, 1},
 		{"unknown link", 0, 50e3, 12},
-		{"small answers", 1.25e6, small, 60},
+		{"small answers", 1.25e6, exemptBytes, 60},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			throttle := New(Config{BytesPerSecond: c.rate})
@@ -56,8 +56,8 @@
 	}
 }
 
-// What is admitted beyond one answer stays within the limit, and all of it is given
-// back.
+// The bytes being sent stay within the limit, unless it is one large answer, and all of them are
+// released.
 func TestNoMoreThanTheLimitIsSent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		throttle := New(Config{BytesPerSecond: 1e6})
@@ -67,27 +67,27 @@
 			bytes := rapid.IntRange(1, 900e3).Draw(t, "bytes")
 			ok, end := call(throttle, bytes)
 			ends = append(ends, end)
-			if !ok || bytes <= small {
+			if !ok || bytes <= exemptBytes {
 				continue
 			}
 			sending += bytes
 			most = max(most, bytes)
-			if sending > throttle.limit && sending > most {
-				t.Fatalf("%d bytes are sent at once, %d are allowed", sending, throttle.limit)
+			if sending > throttle.maxSendingBytes && sending > most {
+				t.Fatalf("%d bytes are sent at once, %d are allowed", sending, throttle.maxSendingBytes)
 			}
 		}
 		for _, end := range ends {
 			end()
 		}
-		if throttle.sending != 0 {
-			t.Fatalf("%d bytes count for ever", throttle.sending)
+		if throttle.sendingBytes != 0 {
+			t.Fatalf("%d bytes are never released", throttle.sendingBytes)
 		}
 	})
 }
 
-func TestAnswersOutsideOfACallAreNotCounted(t *testing.T) {
+func TestAnswersOutsideACallAreNotCounted(t *testing.T) {
 	throttle := New(Config{BytesPerSecond: 1})
-	if !throttle.Admit(context.Background(), 1e6) || throttle.sending != 0 {
-		t.Errorf("%d bytes count that nobody gives back", throttle.sending)
+	if !throttle.Admit(context.Background(), 1e6) || throttle.sendingBytes != 0 {
+		t.Errorf("%d bytes count that are never released", throttle.sendingBytes)
 	}
 }
