--- a/internal/peer/rpc/doc.go
+++ b/internal/peer/rpc/doc.go
@@ -1,15 +1,16 @@
-// Package rpc holds the generated calls between the system's own processes.
+// Package rpc holds the generated clients, servers and messages of the calls between the
+// system's processes.
 //
-// # Usage
+// All calls pass through package signer, which authenticates both sides.
+//
+// To change a message or a call, edit peer.proto and run go generate in this folder. The
+// generator and its plugins are pinned in tools/go.mod. CI checks that the generated files are
+// up to date.
 //
-// Edit peer.proto, then run go generate in this folder. The generator and its
-// plugins are pinned in tools/go.mod; CI checks that generating again changes
-// nothing.
+// # Usage
 //
 //	peer := rpc.NewPeerProtobufClient("http://127.0.0.1:7000", client)
 //	news, err := peer.Exchange(ctx, &rpc.News{})
-//
-// All calls pass through package signer, which authenticates both sides.
 package rpc
 
 //go:generate sh generate.sh
