--- a/internal/peer/aggregator/aggregator.go
+++ b/internal/peer/aggregator/aggregator.go
@@ -22,7 +22,7 @@
 //
 //	a := aggregator.New(aggregator.Config{Host: "front-1", Zone: "a", Start: time.Now()})
 //	a.ApplyOwn(digest, now)
-//	update, news := a.Merge(digest, relaying, now)
+//	update, changed := a.Merge(digest, relaying, now)
 //	digest.Summary = a.ZoneSum(now) // to relays of other zones
 //	digest.Summary = a.FleetSumExcept(receiver, now) // to daemons of the own zone
 package aggregator
@@ -128,8 +128,9 @@
 
 // Merge merges another daemon's digest and returns the update of accounts that it brings, if
 // any. A relay gets updates of the daemons of its zone and of the other zones, any other daemon
-// gets updates of the rest of the fleet.
-func (a *Aggregator) Merge(d *rpc.Digest, relaying bool, now time.Time) (u Update, news bool) {
+// gets updates of the rest of the fleet. Invalid items of the digest's summary are removed from
+// it.
+func (a *Aggregator) Merge(d *rpc.Digest, relaying bool, now time.Time) (u Update, changed bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	zone := identifier.AvailabilityZone(d.GetAvailabilityZone())
@@ -148,7 +149,7 @@
 			g = new(group)
 			a.zones[zone] = g
 		}
-		if news = g.merge(d, a.c.Start, now) && relaying; !news {
+		if changed = g.merge(d, a.c.Start, now) && relaying; !changed {
 			return Update{}, false
 		}
 		a.reported = true
@@ -158,13 +159,13 @@
 	}
 	m := a.mergeMember(d, now)
 	if summary {
-		news = a.rest.merge(d, a.c.Start, now)
+		changed = a.rest.merge(d, a.c.Start, now)
 	}
 	switch {
 	case relaying && m.digest == d:
 		a.reported = true
 		return m.update(), true
-	case !relaying && news:
+	case !relaying && changed:
 		a.reported = true
 		return a.rest.update("fleet/rest"), true
 	}
@@ -229,10 +230,10 @@
 			a.rejected++
 			continue
 		}
-		more := max(c.GetTotal()-m.last[c.GetOrganisation()], 0)
-		m.last[c.GetOrganisation()] += more
-		m.counted[c.GetOrganisation()] += more
-		a.totals[c.GetOrganisation()] += more
+		increase := max(c.GetTotal()-m.last[c.GetOrganisation()], 0)
+		m.last[c.GetOrganisation()] += increase
+		m.counted[c.GetOrganisation()] += increase
+		a.totals[c.GetOrganisation()] += increase
 	}
 	m.digest, m.heardAt = d, now
 	return m
--- a/internal/peer/aggregator/aggregator_test.go
+++ b/internal/peer/aggregator/aggregator_test.go
@@ -130,7 +130,7 @@
 		to.baseline, to.receivedTotals, to.wasRelay = to.othersTotal(), make(map[process]float64), relays
 		to.Rebase()
 	}
-	if u, news := to.Merge(digest, f.isRelay(to), f.now); news {
+	if u, changed := to.Merge(digest, f.isRelay(to), f.now); changed {
 		to.receivedTotals[process{u.Name, u.Incarnation}] = u.Accounts[desk].Total
 	}
 }
@@ -201,9 +201,9 @@
 			for range rapid.IntRange(0, 5).Draw(t, "charges") {
 				f.charge(rapid.IntRange(0, len(f.daemons)-1).Draw(t, "charging"), float64(rapid.IntRange(1, 1000).Draw(t, "charge")))
 			}
-			switch who := f.daemons[rapid.IntRange(0, len(f.daemons)-1).Draw(t, "daemon")]; rapid.IntRange(0, 5).Draw(t, "event") {
+			switch chosen := f.daemons[rapid.IntRange(0, len(f.daemons)-1).Draw(t, "daemon")]; rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				f.end(who)
+				f.end(chosen)
 			case 1:
 				f.revive()
 			}
@@ -225,8 +225,8 @@
 }
 
 // charge makes a live daemon charge an amount.
-func (f *fleet) charge(who int, charge float64) {
-	d := f.daemons[who]
+func (f *fleet) charge(index int, charge float64) {
+	d := f.daemons[index]
 	if d.dead {
 		return
 	}
@@ -264,13 +264,14 @@
 	}
 }
 
-// check compares what each daemon knows with what was charged: never more, and at least the
-// fraction part of it.
-func (f *fleet) check(part float64) {
+// check compares what each daemon knows with what was charged: never more, and at least
+// minFraction of it. Charges near a process change may be missing or count up to three times
+// more.
+func (f *fleet) check(minFraction float64) {
 	for _, d := range f.daemons {
-		known, truth := d.othersTotal(), f.charged(d)
-		if known > truth+3*f.disturbed+1e-6 || known < part*(truth-f.disturbed)-1e-6 || math.IsNaN(known) {
-			f.t.Fatalf("%s knows of charges of %.0f, actual are %.0f, %.0f of them near a process change; %v", d.host, known, truth, f.disturbed, d.receivedTotals)
+		known, actual := d.othersTotal(), f.charged(d)
+		if known > actual+3*f.disturbed+1e-6 || known < minFraction*(actual-f.disturbed)-1e-6 || math.IsNaN(known) {
+			f.t.Fatalf("%s knows of charges of %.0f, actual are %.0f, %.0f of them near a process change; %v", d.host, known, actual, f.disturbed, d.receivedTotals)
 		}
 	}
 }
--- a/internal/peer/aggregator/group.go
+++ b/internal/peer/aggregator/group.go
@@ -80,8 +80,8 @@
 	case d.GetIncarnation() < s.incarnation || d.GetSequence() <= s.sequence:
 		return false
 	}
-	before := s.totals
-	aged := time.Duration(d.GetAgeMilli())*time.Millisecond - s.age
+	previousTotals := s.totals
+	ageIncrease := time.Duration(d.GetAgeMilli())*time.Millisecond - s.age
 	s.apply(d, now)
 	primary := g.choosePrimary(now)
 	switch {
@@ -92,8 +92,8 @@
 	case primary != host:
 		return false
 	case primary == g.primary && g.incarnation == s.incarnation:
-		g.addIncrease(before, s.totals, now)
-		g.age += max(aged, 0)
+		g.addIncrease(previousTotals, s.totals, now)
+		g.age += max(ageIncrease, 0)
 	default:
 		g.follow(primary, start, now)
 	}
@@ -173,7 +173,8 @@
 // daemonsHeard returns how many daemons a relay hears.
 func daemonsHeard(s *rpc.Summary) uint32 { return s.GetDaemons() - min(s.GetSilent(), s.GetDaemons()) }
 
-// follow continues with another relay, or with a new process of the same one.
+// follow continues with another relay, or with a new process of the same one. start is the start
+// of this daemon's process.
 func (g *group) follow(primary identifier.Host, start, now time.Time) {
 	s := g.sources[primary]
 	if s == nil {
--- a/internal/peer/aggregator/invalid_test.go
+++ b/internal/peer/aggregator/invalid_test.go
@@ -34,8 +34,8 @@
 	if n := a.TakeRejected(); n != 6 {
 		t.Errorf("%d items rejected, 6 are invalid", n)
 	}
-	u, news := merge(2, 1500)
-	if !news || u.Accounts["desk"].Total != 500 || len(u.Accounts) != 1 || u.Silent > u.Daemons {
+	u, changed := merge(2, 1500)
+	if !changed || u.Accounts["desk"].Total != 500 || len(u.Accounts) != 1 || u.Silent > u.Daemons {
 		t.Errorf("the valid rest was not merged: %+v", u)
 	}
 	if loads := a.Others(true, now).GetLoads(); len(loads) != 1 || loads[0].GetEndpoint() != "i-2" {
--- a/internal/peer/aggregator/sums.go
+++ b/internal/peer/aggregator/sums.go
@@ -24,34 +24,34 @@
 
 // dropInvalid removes the items of a summary that can't be true, and returns how many it
 // removed.
-func dropInvalid(s *rpc.Summary) (refused int) {
+func dropInvalid(s *rpc.Summary) (rejected int) {
 	if s.GetDaemons() > maxDaemonsSummed || s.GetSilent() > s.GetDaemons() {
 		s.Daemons, s.Silent = min(s.GetDaemons(), maxDaemonsSummed), min(s.GetSilent(), s.GetDaemons(), maxDaemonsSummed)
-		refused++
+		rejected++
 	}
-	s.Charges = filter(s.GetCharges(), &refused, func(c *rpc.Charge) bool {
+	s.Charges = filter(s.GetCharges(), &rejected, func(c *rpc.Charge) bool {
 		return validAmount(c.GetTotal()) && validAmount(c.GetAskedPerSecond()) && validAmount(math.Abs(c.GetLevel()))
 	})
-	s.Demands = filter(s.GetDemands(), &refused, func(d *rpc.Demand) bool {
+	s.Demands = filter(s.GetDemands(), &rejected, func(d *rpc.Demand) bool {
 		return d.GetRunning() <= maxRunning && validAmount(d.GetRequestsPerSecond()) && validAmount(d.GetTokensPerSecond()) &&
 			validAmount(d.GetRefusedPerSecond())
 	})
-	s.Loads = filter(s.GetLoads(), &refused, func(l *rpc.EndpointLoad) bool {
+	s.Loads = filter(s.GetLoads(), &rejected, func(l *rpc.EndpointLoad) bool {
 		return l.GetRunning() <= maxRunning && validAmount(l.GetTokensPerSecond()) && validAmount(l.GetUnreadTokens())
 	})
-	return refused
+	return rejected
 }
 
 // filter returns the items that pass a check, maxItems at most, and counts the others in
-// refused.
-func filter[T any](items []*T, refused *int, valid func(*T) bool) []*T {
+// rejected.
+func filter[T any](items []*T, rejected *int, valid func(*T) bool) []*T {
 	out := items[:0]
 	for _, item := range items {
 		if len(out) < maxItems && valid(item) {
 			out = append(out, item)
 			continue
 		}
-		*refused++
+		*rejected++
 	}
 	return out
 }
@@ -167,55 +167,56 @@
 // message returns the sums as a message, without the part of one of the daemons unless it is
 // nil.
 func (s *sums) message(without *member) *rpc.Summary {
-	minus := newSums()
+	negative := newSums()
 	out := &rpc.Summary{Daemons: uint32(s.daemons), Silent: uint32(s.silent)}
 	if without != nil {
-		s.subtract(without, minus, out)
+		s.subtract(without, negative, out)
 	}
 	for o, c := range s.charges {
-		left := *c
-		if m := minus.charges[o]; m != nil {
-			left.total, left.asked = c.total+m.total, c.asked+m.asked
+		remaining := *c
+		if part := negative.charges[o]; part != nil {
+			remaining.total, remaining.asked = c.total+part.total, c.asked+part.asked
 		}
 		out.Charges = append(out.Charges, &rpc.Charge{
-			Organisation: o, Total: max(left.total, 0), Level: left.level, AskedPerSecond: max(left.asked, 0),
+			Organisation: o, Total: max(remaining.total, 0), Level: remaining.level, AskedPerSecond: max(remaining.asked, 0),
 		})
 	}
 	for name, d := range s.demands {
-		left := *d
-		if m := minus.demands[name]; m != nil {
-			left.running, left.requests, left.tokens, left.refused = d.running+m.running, d.requests+m.requests, d.tokens+m.tokens, d.refused+m.refused
+		remaining := *d
+		if part := negative.demands[name]; part != nil {
+			remaining.running, remaining.requests, remaining.tokens, remaining.refused = d.running+part.running, d.requests+part.requests, d.tokens+part.tokens, d.refused+part.refused
 		}
 		out.Demands = append(out.Demands, &rpc.Demand{
-			Service: name, Running: uint32(max(left.running, 0)), RequestsPerSecond: max(left.requests, 0),
-			TokensPerSecond: max(left.tokens, 0), RefusedPerSecond: max(left.refused, 0),
+			Service: name, Running: uint32(max(remaining.running, 0)), RequestsPerSecond: max(remaining.requests, 0),
+			TokensPerSecond: max(remaining.tokens, 0), RefusedPerSecond: max(remaining.refused, 0),
 		})
 	}
 	for key, l := range s.loads {
-		left := *l
-		if m := minus.loads[key]; m != nil {
-			left.running, left.tokens, left.unread = l.running+m.running, l.tokens+m.tokens, l.unread+m.unread
+		remaining := *l
+		if part := negative.loads[key]; part != nil {
+			remaining.running, remaining.tokens, remaining.unread = l.running+part.running, l.tokens+part.tokens, l.unread+part.unread
 		}
-		if left.running <= 0 && left.tokens < minLoadRate && left.unread < minLoadRate {
+		if remaining.running <= 0 && remaining.tokens < minLoadRate && remaining.unread < minLoadRate {
 			continue
 		}
 		out.Loads = append(out.Loads, &rpc.EndpointLoad{
-			Endpoint: key.endpoint, Born: key.born, Running: uint32(max(left.running, 0)), TokensPerSecond: max(left.tokens, 0),
-			UnreadTokens: max(left.unread, 0),
+			Endpoint: key.endpoint, Born: key.born, Running: uint32(max(remaining.running, 0)), TokensPerSecond: max(remaining.tokens, 0),
+			UnreadTokens: max(remaining.unread, 0),
 		})
 	}
 	return out
 }
 
-// subtract collects the part of a daemon, as of its last digest, in minus as negative sums.
-func (s *sums) subtract(m *member, minus *sums, out *rpc.Summary) {
+// subtract collects the part of a daemon, as of its last digest, in negative as negative sums,
+// and takes the daemon off the number in out.
+func (s *sums) subtract(m *member, negative *sums, out *rpc.Summary) {
 	out.Daemons = uint32(max(s.daemons-1, 0))
 	out.Silent = min(out.Silent, out.Daemons)
 	for o, total := range m.counted {
-		getOrCreate(minus.charges, o).total -= total
+		getOrCreate(negative.charges, o).total -= total
 	}
 	for _, c := range m.digest.GetCharges() {
-		getOrCreate(minus.charges, c.GetOrganisation()).asked -= c.GetAskedPerSecond()
+		getOrCreate(negative.charges, c.GetOrganisation()).asked -= c.GetAskedPerSecond()
 	}
-	minus.addActivity(m.digest.GetDemands(), m.digest.GetLoads(), -1)
+	negative.addActivity(m.digest.GetDemands(), m.digest.GetLoads(), -1)
 }
--- a/internal/peer/gossiper/gossiper.go
+++ b/internal/peer/gossiper/gossiper.go
@@ -180,23 +180,23 @@
 // one is empty.
 func (g *Gossiper) pickMember(members []*rpc.Member) *rpc.Member {
 	zone := g.c.Members.Self().AvailabilityZone
-	var near, far, dead []*rpc.Member
+	var sameZone, otherZones, dead []*rpc.Member
 	for _, m := range members {
 		switch {
 		case m.State == rpc.State_DEAD:
 			dead = append(dead, m)
 		case m.AvailabilityZone == zone:
-			near = append(near, m)
+			sameZone = append(sameZone, m)
 		default:
-			far = append(far, m)
+			otherZones = append(otherZones, m)
 		}
 	}
-	order := [][]*rpc.Member{near, far, dead}
+	order := [][]*rpc.Member{sameZone, otherZones, dead}
 	if g.round%otherZoneEvery == 0 {
-		order = [][]*rpc.Member{far, near, dead}
+		order = [][]*rpc.Member{otherZones, sameZone, dead}
 	}
 	if g.round%deadEvery == 0 {
-		order = [][]*rpc.Member{dead, near, far}
+		order = [][]*rpc.Member{dead, sameZone, otherZones}
 	}
 	for _, group := range order {
 		if len(group) > 0 {
--- a/internal/peer/mirror/mirror.go
+++ b/internal/peer/mirror/mirror.go
@@ -49,11 +49,11 @@
 // were deleted.
 var ErrListUncertain = errors.New("mirror: list in doubt")
 
-// Apply merges the objects of one list or one watch event and returns those that were new. It
+// Apply merges the objects of one list or one watch event and returns those that changed. It
 // merges all of them under one lock: a peer that asked for changes in between would take the
 // highest revision of a part for all there is, and never ask for the rest. A deleted object
 // returns only with a higher version, as an entry does that lapsed while the platform was away.
-func (m *Mirror) Apply(objects []object.Object) (news []object.Object) {
+func (m *Mirror) Apply(objects []object.Object) (changed []object.Object) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.objects == nil {
@@ -61,19 +61,19 @@
 	}
 	for _, o := range objects {
 		if m.apply(o) {
-			news = append(news, o)
+			changed = append(changed, o)
 		}
 	}
 	if m.tombstones > maxTombstones {
 		m.dropTombstones()
 	}
-	return news
+	return changed
 }
 
 // ApplyFromPeer merges objects from a peer, as Apply does. A mirror has all changes up to its
 // revision. So an object that it does not have, and that is not newer than its revision, has
 // been deleted: a peer that lags, or that missed the deletion, must not bring it back.
-func (m *Mirror) ApplyFromPeer(objects []object.Object) (news []object.Object) {
+func (m *Mirror) ApplyFromPeer(objects []object.Object) (changed []object.Object) {
 	revisions := make(map[string]uint64)
 	var newer []object.Object
 	for _, o := range objects {
@@ -88,7 +88,7 @@
 	return m.Apply(newer)
 }
 
-// apply merges one object and reports whether it was new. The caller holds the lock.
+// apply merges one object and reports whether it changed. The caller holds the lock.
 func (m *Mirror) apply(o object.Object) bool {
 	old, known := m.objects[o.Key]
 	if known && (o.Version < old.Version || o.Version == old.Version && (!o.Deleted || old.Deleted)) {
@@ -182,8 +182,8 @@
 }
 
 // Replace replaces the objects of a kind with all those that a peer knows up to a revision, and
-// returns what was new. Objects that are missing have been deleted.
-func (m *Mirror) Replace(kind string, objects []object.Object, revision uint64) (news []object.Object) {
+// returns those that changed. Objects that are missing have been deleted.
+func (m *Mirror) Replace(kind string, objects []object.Object, revision uint64) (changed []object.Object) {
 	present := make(map[string]bool, len(objects))
 	for i := range objects {
 		present[objects[i].Key] = true
--- a/internal/peer/mirror/mirror_test.go
+++ b/internal/peer/mirror/mirror_test.go
@@ -9,7 +9,7 @@
 	"brasschute/internal/platform/object"
 )
 
-// applyOne applies one object and reports whether it was new.
+// applyOne applies one object and reports whether it changed.
 func (m *Mirror) applyOne(o object.Object) bool { return len(m.Apply([]object.Object{o})) == 1 }
 
 // Objects of earlier revisions, late or from a peer that lags, must not bring back a deleted
@@ -21,7 +21,7 @@
 	if m.applyOne(object.Object{Key: "servers/a", Version: 4}) || m.applyOne(object.Object{Key: "servers/a", Version: 5}) {
 		t.Error("a deleted endpoint came back")
 	}
-	if news := m.ApplyFromPeer([]object.Object{{Key: "servers/b", Version: 5}}); len(news) > 0 {
+	if changed := m.ApplyFromPeer([]object.Object{{Key: "servers/b", Version: 5}}); len(changed) > 0 {
 		t.Error("a peer that lags brought back an endpoint that was deleted before")
 	}
 	changes := m.ChangedSince("servers", 4)
--- a/internal/peer/roster/roster.go
+++ b/internal/peer/roster/roster.go
@@ -181,7 +181,7 @@
 
 // RecordFailure records that a call to a daemon failed. It returns the daemon, and true, if it
 // had answered before and was not yet lost.
-func (r *Roster) RecordFailure(address string, now time.Time) (lost Daemon, news bool) {
+func (r *Roster) RecordFailure(address string, now time.Time) (lost Daemon, newlyLost bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	d := r.daemons[address]
--- a/internal/peer/roster/roster_test.go
+++ b/internal/peer/roster/roster_test.go
@@ -13,8 +13,8 @@
 
 func address(host identifier.Host) string { return string(host) + ":82" }
 
-// hear makes a roster receive a digest from a daemon of a zone.
-func hear(r *Roster, host identifier.Host, zone string, relaying bool) {
+// receiveDigest makes a roster receive a digest from a daemon of a zone.
+func receiveDigest(r *Roster, host identifier.Host, zone string, relaying bool) {
 	r.RecordAnswer(&rpc.Digest{Host: string(host), AvailabilityZone: zone, Relaying: relaying, Observing: relaying}, address(host), time.Now())
 }
 
@@ -33,6 +33,7 @@
 	return out
 }
 
+// hosts returns the hosts of daemons.
 func hosts(daemons []Daemon) (out []identifier.Host) {
 	for _, d := range daemons {
 		out = append(out, d.Host)
@@ -45,7 +46,7 @@
 func inFourZones(self identifier.Host) *Roster {
 	r := New(Config{Host: self, Zone: "a", Address: address(self)})
 	for _, zone := range []string{"b", "c", "d"} {
-		hear(r, identifier.Host("other-"+zone), zone, true)
+		receiveDigest(r, identifier.Host("other-"+zone), zone, true)
 	}
 	return r
 }
@@ -59,7 +60,7 @@
 		r := inFourZones(names[2])
 		all := func() {
 			for _, i := range []int{0, 1, 3} {
-				hear(r, names[i], "a", i < 2)
+				receiveDigest(r, names[i], "a", i < 2)
 			}
 		}
 		all()
@@ -67,13 +68,13 @@
 			t.Fatalf("relays %v, this one is a relay: %v", got, r.IsRelay(time.Now()))
 		}
 		time.Sleep(2 * time.Second)
-		hear(r, names[1], "a", true)
+		receiveDigest(r, names[1], "a", true)
 		r.RecordFailure(address(names[0]), time.Now())
 		if got := hosts(r.Relays("a", time.Now())); !slices.Equal(got, names[1:2]) || !r.IsRelay(time.Now()) {
 			t.Errorf("without the first: relays %v, this one is a relay: %v", got, r.IsRelay(time.Now()))
 		}
 		time.Sleep(LivenessTimeout)
-		hear(r, names[1], "a", true)
+		receiveDigest(r, names[1], "a", true)
 		if got := hosts(r.DisplacedRelays(time.Now())); !slices.Equal(got, names[:1]) {
 			t.Errorf("displaced relays %v", got)
 		}
@@ -90,7 +91,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		names := ranked(4)
 		r := inFourZones(names[1])
-		hear(r, names[0], "a", true)
+		receiveDigest(r, names[0], "a", true)
 		if r.FollowsStore(time.Now()) {
 			t.Error("follows the store though the first relay does")
 		}
@@ -115,7 +116,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		names := ranked(3)
 		relay := New(Config{Host: names[0], Zone: "b", Address: address(names[0])})
-		hear(relay, names[1], "b", false)
+		receiveDigest(relay, names[1], "b", false)
 		own := &rpc.Member{Host: string(names[0]), PeerAddress: address(names[0])}
 		r := inFourZones("front-9")
 		sendDigest := func(relaying, full bool) {
@@ -138,7 +139,7 @@
 			t.Error("not live though a relay lists it")
 		}
 		time.Sleep(2 * time.Second)
-		hear(relay, names[1], "b", false)
+		receiveDigest(relay, names[1], "b", false)
 		sendDigest(true, false)
 		time.Sleep(2 * time.Second)
 		if !isLive() {
@@ -192,7 +193,7 @@
 		names := ranked(4)
 		r := inFourZones(names[3])
 		for _, relay := range names[:3] {
-			hear(r, relay, "a", true)
+			receiveDigest(r, relay, "a", true)
 		}
 		sendDigest := func(hash uint64, observing bool, body bool) {
 			d := &rpc.Digest{Host: string(names[0]), AvailabilityZone: "a", Relaying: true, RosterHashes: []uint64{hash}}
@@ -226,7 +227,7 @@
 		names := ranked(4)
 		r := inFourZones(names[3])
 		for _, relay := range names[:3] {
-			hear(r, relay, "a", true)
+			receiveDigest(r, relay, "a", true)
 		}
 		sendDigest := func(relay identifier.Host, names ...string) {
 			d := &rpc.Digest{Host: string(relay), AvailabilityZone: "a", Relaying: true}
--- a/internal/peer/syncer/syncer.go
+++ b/internal/peer/syncer/syncer.go
@@ -251,7 +251,7 @@
 	s.mu.Unlock()
 	if err != nil {
 		now := time.Now()
-		if lost, news := s.c.Roster.RecordFailure(address, now); news {
+		if lost, newlyLost := s.c.Roster.RecordFailure(address, now); newlyLost {
 			s.c.Logger.Warn("peer unreachable", "peer", lost.Host, "address", address, "silent_ms", now.Sub(lost.AnsweredAt).Milliseconds(), "error", err)
 		}
 		return
