--- a/internal/config/applier/applier.go
+++ b/internal/config/applier/applier.go
@@ -1,23 +1,18 @@
 // Package applier writes an operator's configuration to the platform.
 //
-// # Two operators at once
+// A draft states the configuration number that it was made from. The applier
+// refuses a draft made from any number but the latest, and makes the write
+// conditional on the object's version on the platform. Of two operators that
+// apply at once, one therefore gets a [Conflict] that names the other's change.
 //
-// Whoever applies names the number that the draft was made from. The applier
-// refuses a draft made from another number than the latest, and writes under
-// the platform's version, so that of two racing operators one gets a
-// [Conflict] that names the other's change.
+// If the response to a write is lost, the applier reads the object back and looks
+// for the random token of its own change. While the platform cannot be read, the
+// outcome is unknown and the error is [ErrUnknown]; the applier never reports
+// that nothing changed when it can't know.
 //
-// # A lost answer
-//
-// When the answer to the write is lost, the applier reads back and looks for
-// its own token. While the platform cannot be read the outcome is unknown,
-// and the error says so; it never claims that nothing changed.
-//
-// # The record
-//
-// The change record is part of the written object. Older records move to
-// objects of their own before they are cut from the list: an archived record
-// may stand twice, but never nowhere.
+// The change record is part of the written object. Older records are archived
+// in objects of their own before they are removed from the list, so that an
+// archived record may exist twice but is never lost.
 //
 // # Usage
 //
@@ -43,25 +38,29 @@
 )
 
 const (
-	historyKept = 64
-	historyMax  = 2 * historyKept
-	maxDiffers  = 40
-	tokenBytes  = 12
-	readBacks   = 5
-	readPause   = 200 * time.Millisecond
+	// The history in the configuration's object grows to historyMaxChanges, then
+	// all but historyKeptChanges are archived.
+	historyKeptChanges = 64
+	historyMaxChanges  = 2 * historyKeptChanges
+	maxDiffLines       = 40
+	tokenBytes         = 12
+	maxReadBacks       = 5
+	readBackPause      = 200 * time.Millisecond
 )
 
-// ErrUnknown is returned when the write's answer was lost and the platform
-// cannot be read; the change may be in force.
+// ErrUnknown is returned if the response to the write was lost and the platform
+// cannot be read. The change may be in force.
 var ErrUnknown = errors.New("outcome unknown: the change may be in force; see 'brasschute config history'")
 
-// Conflict is the error of a draft made from another number than the latest.
+// Conflict is the error of a draft that was not made from the latest configuration.
 type Conflict struct {
-	From   identifier.ConfigurationNumber
+	// From is the number that the draft was made from.
+	From identifier.ConfigurationNumber
+	// Latest is the newest change known.
 	Latest keeper.Change
 }
 
-// Error names the change that came between.
+// Error names the intervening change and what to do.
 func (c *Conflict) Error() string {
 	return fmt.Sprintf("conflict: the draft was made from configuration %d, but %s applied %d at %s; get that one, repeat the edit and apply again",
 		c.From, c.Latest.Who, c.Latest.Number, time.UnixMilli(c.Latest.WhenUnixMilli).UTC().Format(time.RFC3339))
@@ -73,18 +72,22 @@
 	Put(ctx context.Context, key string, ifVersion uint64, value any) (object.Object, error)
 }
 
-// Config names the store and the keeper of this daemon.
+// Config holds the applier's dependencies.
 type Config struct {
-	Store  Store
+	Store Store
+	// Keeper holds the configuration in force at this daemon.
 	Keeper *keeper.Keeper
 }
 
-// Draft is what an operator wants in force.
+// Draft is a configuration that an operator applies.
 type Draft struct {
+	// File is the name shown in problems, Source the YAML text.
 	File   string
 	Source string
-	From   identifier.ConfigurationNumber
-	Who    string
+	// From is the number of the configuration that the draft was made from.
+	From identifier.ConfigurationNumber
+	// Who is the operator's name.
+	Who string
 }
 
 // Applier applies drafts. It is safe for concurrent use.
@@ -95,9 +98,9 @@
 // New returns an applier.
 func New(c Config) *Applier { return &Applier{c} }
 
-// Apply checks and writes a draft and brings it into force here. The error is
-// a decoder.Problems, a *Conflict, ErrUnknown, or the platform's; all but
-// ErrUnknown mean that nothing changed.
+// Apply checks and writes a draft and brings it into force at this daemon. The
+// error is a decoder.Problems, a *Conflict, ErrUnknown, or one of the platform's;
+// all but ErrUnknown mean that nothing changed.
 func (a *Applier) Apply(ctx context.Context, d *Draft) (*keeper.Change, error) {
 	if _, err := compiler.Compile(d.File, []byte(d.Source)); err != nil {
 		return nil, err
@@ -109,7 +112,7 @@
 	if err := a.check(d, stored); err != nil {
 		return nil, err
 	}
-	next := a.next(d, stored)
+	next := a.newRecord(d, stored)
 	if err := a.archive(ctx, next); err != nil {
 		return nil, err
 	}
@@ -132,26 +135,27 @@
 		return nil, 0, err
 	}
 	if err := json.Unmarshal(o.Value, &s); err != nil {
-		// A bad object written by other hands: it can be replaced, and its
-		// history is lost already.
+		// Another writer wrote an object that is not a configuration. It can be
+		// replaced, as its history is already lost.
 		return &keeper.Record{}, o.Version, nil
 	}
 	return &s, o.Version, nil
 }
 
-// valid tells whether a stored configuration can be in force anywhere. One
-// that cannot was written past the checks, and no draft can be made from it.
-func valid(s *keeper.Record) bool {
+// compiles reports whether a stored configuration can be in force at any daemon.
+// One that does not compile was written without the applier's checks, and no
+// draft can be made from it.
+func compiles(s *keeper.Record) bool {
 	_, err := compiler.Compile("stored", []byte(s.Source))
 	return err == nil
 }
 
-// check compares the draft's origin with the latest number known. The
-// platform's may be lower than the one in force here, after a stale read or a
-// restored backup; the higher one counts.
+// check compares the number that the draft was made from with the latest number
+// known. After a stale read or a restored backup the platform's number may be
+// lower than the one in force here; the higher one counts.
 func (a *Applier) check(d *Draft, stored *keeper.Record) error {
 	latest := &stored.Change
-	if s := a.c.Keeper.Current(); s != nil && (s.Number() > latest.Number || !valid(stored)) {
+	if s := a.c.Keeper.Current(); s != nil && (s.Number() > latest.Number || !compiles(stored)) {
 		latest = &s.Change
 	}
 	if d.From != latest.Number {
@@ -160,7 +164,9 @@
 	return nil
 }
 
-func (a *Applier) next(d *Draft, old *keeper.Record) *keeper.Record {
+// newRecord returns the record to write, with the old record's change moved to its
+// history.
+func (a *Applier) newRecord(d *Draft, old *keeper.Record) *keeper.Record {
 	token := make([]byte, tokenBytes)
 	_, _ = rand.Read(token)
 	next := &keeper.Record{Source: d.Source}
@@ -174,29 +180,31 @@
 	return next
 }
 
-// archive moves the older half of a full history to an object of its own,
-// before the write that no longer contains it.
+// archive writes the older half of a full history to an object of its own and
+// removes it from next. It runs before next is written, so that no change is lost.
 func (a *Applier) archive(ctx context.Context, next *keeper.Record) error {
-	if len(next.History) < historyMax {
+	if len(next.History) < historyMaxChanges {
 		return nil
 	}
-	old := next.History[historyKept:]
+	old := next.History[historyKeptChanges:]
 	key := fmt.Sprintf("%sarchive/%012d", inventory.AuditPrefix, old[0].Number)
 	if _, err := a.c.Store.Put(ctx, key, object.Absent, old); err != nil && !errors.Is(err, object.ErrConflict) {
 		return fmt.Errorf("archive of older changes: %w", err)
 	}
-	next.History = next.History[:historyKept]
+	next.History = next.History[:historyKeptChanges]
 	return nil
 }
 
+// write writes the record and, while the outcome is unknown, reads it back and
+// retries.
 func (a *Applier) write(ctx context.Context, d *Draft, next *keeper.Record, version uint64) error {
-	for range readBacks {
+	for range maxReadBacks {
 		_, err := a.c.Store.Put(ctx, inventory.ConfigurationKey, version, next)
 		switch {
 		case err == nil:
 			return nil
 		case errors.Is(err, object.ErrConflict):
-			return a.settle(ctx, d, next)
+			return a.resolveConflict(ctx, d, next)
 		case !errors.Is(err, object.ErrUnknown):
 			return err
 		}
@@ -208,9 +216,9 @@
 	return ErrUnknown
 }
 
-// settle tells a real conflict from our own write that took effect after its
-// answer was lost.
-func (a *Applier) settle(ctx context.Context, d *Draft, next *keeper.Record) error {
+// resolveConflict returns nil if the conflict was caused by our own write, which took
+// effect although its response was lost, and a *Conflict otherwise.
+func (a *Applier) resolveConflict(ctx context.Context, d *Draft, next *keeper.Record) error {
 	done, _, err := a.readBack(ctx, d, next)
 	if err != nil || done {
 		return err
@@ -222,16 +230,17 @@
 	return &Conflict{From: d.From, Latest: stored.Change}
 }
 
-// readBack looks for our write. done: it stands. Otherwise the returned
-// version is the one to write under again.
+// readBack looks for our write in the store. done is set if it took effect;
+// otherwise version is the object's version, on which to make the next write
+// conditional.
 func (a *Applier) readBack(ctx context.Context, d *Draft, next *keeper.Record) (done bool, version uint64, err error) {
-	for range readBacks {
+	for range maxReadBacks {
 		stored, version, err := a.read(ctx)
 		if err != nil {
-			waiter.For(ctx, readPause)
+			waiter.For(ctx, readBackPause)
 			continue
 		}
-		if contains(stored, next.Change.Token) {
+		if containsToken(stored, next.Change.Token) {
 			return true, version, nil
 		}
 		if stored.Change.Number >= next.Change.Number {
@@ -242,7 +251,8 @@
 	return false, 0, ErrUnknown
 }
 
-func contains(s *keeper.Record, token string) bool {
+// containsToken reports whether the record holds the change of a token.
+func containsToken(s *keeper.Record, token string) bool {
 	if s.Change.Token == token {
 		return true
 	}
@@ -254,7 +264,8 @@
 	return false
 }
 
-// History returns the newest changes, up to a limit, newest first.
+// History returns up to limit changes from the configuration's object, newest
+// first. Archived changes are not included.
 func (a *Applier) History(ctx context.Context, limit int) ([]keeper.Change, error) {
 	stored, _, err := a.read(ctx)
 	if err != nil {
@@ -267,7 +278,9 @@
 	return all[:min(limit, len(all))], nil
 }
 
-// Differences lists the lines that only one of two texts has, in order.
+// Differences returns the lines that only one of two texts contains: first the
+// removed lines, prefixed with "-", then the added ones, prefixed with "+". It
+// truncates a long list and appends the number of lines left out.
 func Differences(old, text string) []string {
 	count := make(map[string]int)
 	for line := range strings.Lines(text) {
@@ -287,9 +300,9 @@
 			out = append(out, "+"+strings.TrimRight(line, "\n"))
 		}
 	}
-	if len(out) > maxDiffers {
-		more := len(out) - maxDiffers
-		out = append(out[:maxDiffers], fmt.Sprintf("… %d more", more))
+	if len(out) > maxDiffLines {
+		more := len(out) - maxDiffLines
+		out = append(out[:maxDiffLines], fmt.Sprintf("… %d more", more))
 	}
 	return out
 }
--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -1,19 +1,17 @@
-// Package catalog holds one version of what the operators want served: routes,
+// Package catalog holds one version of the operators' configuration: routes,
 // services, organisations and limits.
 //
-// # Lookups
+// A [Catalog] is immutable. Its lookups run for every request: the route by
+// host and path (the longest prefix wins), the organisation by API key, and the
+// service of a weighted route by a hash of the request, so that all daemons
+// choose the same service without coordination.
 //
-// A [Catalog] is immutable once made. Its lookups are on the path of every
-// request: the route by host and path (the longest prefix wins), the
-// organisation by API key, the service of a weighted route by a hash of the
-// request, so that each daemon decides the same without talking.
+// Package platform decodes a catalog from the platform's format.
 //
 // # Usage
 //
 //	c := catalog.New(catalog.Config{Number: 7, Routes: routes, ...})
 //	route := c.Route("ficu.example", "/drafts/17")
-//
-// Where it comes from does not matter here: package platform decodes it.
 package catalog
 
 import (
@@ -25,7 +23,7 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind says whether a route's requests may be repeated and how they are answered.
 type Kind int
 
 // The kinds of route.
@@ -34,106 +32,113 @@
 	NonIdempotent Kind = iota
 	// Idempotent requests may run more than once.
 	Idempotent
-	// Streaming requests are answered by numbered events. They run at most
+	// Streaming requests are answered with numbered events. They run at most
 	// once, unless the route is resumable.
 	Streaming
 )
 
-// String names the kind for logs.
+// String returns the name of the kind for logs.
 func (k Kind) String() string { return [...]string{"non-idempotent", "idempotent", "streaming"}[k] }
 
-// Target is a service with its share of a route's requests.
+// Target is a service and its weight among the targets of a route.
 type Target struct {
 	Service identifier.Service
 	Weight  int
 }
 
-// Route says which requests go to which services, and under which terms.
+// Route maps requests to services and sets the requests' limits and objectives.
 type Route struct {
 	Name string
-	// Host and Prefix select the requests; a prefix begins and ends with "/".
+	// Host and Prefix select the requests. Prefix begins and ends with "/".
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request may be kept waiting, Objective the
-	// time to the first event (or the answer) that earns its full worth, and
-	// PauseObjective the longest pause between events for that.
-	Timeout        time.Duration
-	FirstEventObjective      time.Duration
-	EventGapObjective time.Duration
+	// Timeout is the longest time that a request may wait. FirstEventObjective
+	// is the target for the time to the first event (or the response), and
+	// EventGapObjective the target for the longest gap between events. A request
+	// counts in full only if it meets both.
+	Timeout             time.Duration
+	FirstEventObjective time.Duration
+	EventGapObjective   time.Duration
 	// Rank is the priority; 0 is the most urgent.
 	Rank    int
 	Targets []Target
-	// MaxAttempts is the number of endpoints that one request may reach.
+	// MaxAttempts is the largest number of endpoints that one request may reach.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public routes need no API key.
 	Public bool
-	// Resumable streams may go on at another endpoint after their last event.
+	// Resumable streams may continue at another endpoint after the last event
+	// that was delivered.
 	Resumable bool
 }
 
-// Retryable tells whether a request of the route may run more than once.
+// Retryable reports whether a request of the route may run more than once.
 func (r *Route) Retryable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	// Slots is the number of requests in one batch.
+	// Slots is the largest number of requests in one batch.
 	Slots int
-	// MemoryTokens is what running requests and cached prompt parts share.
+	// MemoryTokens is the KV cache capacity in tokens, shared by running
+	// requests and cached prefixes.
 	MemoryTokens identifier.Tokens
-	// TokenBytes is the size of one token's state, which moves over a link of
-	// LinkMbps.
+	// TokenBytes is the size of one token's KV cache entry, and LinkMbps the
+	// bandwidth, in Mbit/s, of the link over which the cache is copied.
 	TokenBytes int
 	LinkMbps   float64
-	// Migratable: a running request's state can be copied to another engine.
+	// Migratable is set if the state of a running request can be copied to
+	// another engine.
 	Migratable bool
 	// TokensPerEvent is the number of output tokens in one event.
 	TokensPerEvent int
 }
 
-// Scale says how the number of a service's endpoints may be changed.
+// Scale bounds the number of a service's endpoints and gives their cost.
 type Scale struct {
 	// Min and Max bound the endpoints of one availability zone.
 	Min int
 	Max int
-	// BootTime is the time from an order until a new endpoint serves.
+	// BootTime is the time from ordering a new endpoint until it serves.
 	BootTime time.Duration
-	// ReclaimablePriceRatio is the part of the price that a reclaimable endpoint
-	// costs; 0 if there are none.
+	// ReclaimablePriceRatio is the price of a reclaimable endpoint as a fraction
+	// of the on-demand price; 0 if there are no reclaimable endpoints.
 	ReclaimablePriceRatio float64
-	// Prices are those of one endpoint for a second, by zone.
+	// Prices holds the price of one endpoint per second, by zone.
 	Prices map[identifier.AvailabilityZone]float64
 }
 
 // Service is a set of interchangeable endpoints.
 type Service struct {
 	Name identifier.Service
-	// MaxConnections is what one endpoint accepts from all hosts together.
+	// MaxConnections is the number of connections that one endpoint accepts from
+	// all hosts together.
 	MaxConnections int
-	// Engine and Scale are nil where they do not apply.
+	// Engine is nil for services that are not model engines, Scale for services
+	// of fixed size.
 	Engine *Engine
 	Scale  *Scale
 }
 
-// Organisation is a customer with its keys and quota.
+// Organisation is a customer with its API keys and quota.
 type Organisation struct {
 	Name identifier.Organisation
 	Keys []string
-	// Rank, if set, goes before the rank of the route.
+	// Rank, if not nil, overrides the rank of the route.
 	Rank *int
-	// ByTokens: the quota counts prompt and output tokens instead of requests;
-	// a request that does not state its tokens counts PlainTokens.
+	// ByTokens is set if the quota counts prompt and output tokens instead of
+	// requests. A request that does not state its tokens counts as PlainTokens.
 	ByTokens    bool
 	PlainTokens int
-	// RatePerSecond and Burst are the quota over all hosts; 0 for none.
+	// RatePerSecond and Burst are the quota over all hosts; 0 for no quota.
 	RatePerSecond float64
 	Burst         float64
 }
 
-// Limits bound what a client may send.
+// Limits bounds what a client may send.
 type Limits struct {
+	// BodyBytes is the largest request body.
 	BodyBytes int64
 }
 
@@ -146,7 +151,8 @@
 	Limits        Limits
 }
 
-// Catalog is one version of the configuration, ready for lookups.
+// Catalog is one version of the configuration, indexed for lookups. It is safe
+// for concurrent use.
 type Catalog struct {
 	c        Config
 	byHost   map[string][]*Route
@@ -154,7 +160,7 @@
 	byKey    map[string]*Organisation
 }
 
-// New indexes a configuration, which must not be changed any more.
+// New indexes a configuration, which must not be modified afterwards.
 func New(c Config) *Catalog {
 	out := &Catalog{
 		c: c, byHost: make(map[string][]*Route), services: make(map[identifier.Service]*Service, len(c.Services)),
@@ -178,22 +184,23 @@
 	return out
 }
 
-// Number is the version; higher is newer.
+// Number returns the number of the configuration; higher is newer.
 func (c *Catalog) Number() identifier.ConfigurationNumber { return c.c.Number }
 
-// Limits returns the limits on what clients send.
+// Limits returns the limits on client requests.
 func (c *Catalog) Limits() Limits { return c.c.Limits }
 
-// Routes returns all routes; they must not be changed.
+// Routes returns all routes; they must not be modified.
 func (c *Catalog) Routes() []Route { return c.c.Routes }
 
-// Services returns all services; they must not be changed.
+// Services returns all services; they must not be modified.
 func (c *Catalog) Services() []Service { return c.c.Services }
 
-// Organisations returns all organisations; they must not be changed.
+// Organisations returns all organisations; they must not be modified.
 func (c *Catalog) Organisations() []Organisation { return c.c.Organisations }
 
-// Route returns the route with the longest prefix of a path, or nil.
+// Route returns the host's route with the longest prefix of the path, or nil if
+// none matches.
 func (c *Catalog) Route(host, path string) *Route {
 	for _, r := range c.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -203,14 +210,15 @@
 	return nil
 }
 
-// Service returns a service, or nil.
+// Service returns the service of a name, or nil if there is none.
 func (c *Catalog) Service(name identifier.Service) *Service { return c.services[name] }
 
-// Organisation returns the one that holds a key, or nil.
+// Organisation returns the organisation that owns an API key, or nil if there
+// is none.
 func (c *Catalog) Organisation(key string) *Organisation { return c.byKey[key] }
 
-// Pick returns a route's service for a hash: each service gets its share of
-// hashes.
+// Pick returns the service for a hash. Over all hashes, each service is chosen
+// in proportion to its weight. It returns "" if no target has a weight.
 func (r *Route) Pick(hash uint64) identifier.Service {
 	total := 0
 	for _, t := range r.Targets {
--- a/internal/config/compiler/checker.go
+++ b/internal/config/compiler/checker.go
@@ -14,220 +14,222 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// checker adds the checks of meaning to the decoder's problems.
+// checker runs the semantic checks of a configuration. It adds their problems to the
+// decoder's and fills the plan's indexes.
 type checker struct {
-	d decoder.Decoder
-	p *Plan
+	decoder decoder.Decoder
+	plan    *Plan
 }
 
-func (c *checker) unique(seen map[string]bool, field, name string) {
+func (c *checker) checkUniqueName(seen map[string]bool, field, name string) {
 	if name == "" {
-		c.d.Report(field, "nothing", "a name")
+		c.decoder.Report(field, "nothing", "a name")
 	}
 	if seen[name] {
-		c.d.Report(field, fmt.Sprintf("%q a second time", name), "each name once")
+		c.decoder.Report(field, fmt.Sprintf("%q a second time", name), "each name once")
 	}
 	seen[name] = true
 }
 
-func (c *checker) atLeast(field string, value, least int) {
+func (c *checker) checkMin(field string, value, least int) {
 	if value < least {
-		c.d.Report(field, fmt.Sprint(value), fmt.Sprintf("%d or more", least))
+		c.decoder.Report(field, fmt.Sprint(value), fmt.Sprintf("%d or more", least))
 	}
 }
 
-func (c *checker) priority(field, name string) {
-	for _, known := range c.p.Configuration.Priorities {
+func (c *checker) checkPriority(field, name string) {
+	for _, known := range c.plan.Configuration.Priorities {
 		if known == name {
 			return
 		}
 	}
-	c.d.Report(field, fmt.Sprintf("%q", name), "one of Priorities: "+strings.Join(c.p.Configuration.Priorities, ", "))
+	c.decoder.Report(field, fmt.Sprintf("%q", name), "one of Priorities: "+strings.Join(c.plan.Configuration.Priorities, ", "))
 }
 
-func (c *checker) organisations() {
+func (c *checker) checkOrganisations() {
 	seen := make(map[string]bool)
-	for i := range c.p.Configuration.Organisations {
-		o := &c.p.Configuration.Organisations[i]
+	for i := range c.plan.Configuration.Organisations {
+		o := &c.plan.Configuration.Organisations[i]
 		at := fmt.Sprintf("Organisations[%d].", i)
-		c.unique(seen, at+"Name", string(o.Name))
-		c.atLeast(at+"Concurrency", o.Concurrency, 1)
-		c.atLeast(at+"Queue", o.Queue, 0)
+		c.checkUniqueName(seen, at+"Name", string(o.Name))
+		c.checkMin(at+"Concurrency", o.Concurrency, 1)
+		c.checkMin(at+"Queue", o.Queue, 0)
 		if o.Priority != "" {
-			c.priority(at+"Priority", o.Priority)
+			c.checkPriority(at+"Priority", o.Priority)
 		}
 		if len(o.KeyHashes) == 0 {
-			c.d.Report(at+"KeyHashes", "nothing", "one SHA-256 in hexadecimal or more")
+			c.decoder.Report(at+"KeyHashes", "nothing", "at least one SHA-256 in hexadecimal")
 		}
 		for j, hash := range o.KeyHashes {
-			c.keyHash(fmt.Sprintf("%sKeyHashes[%d]", at, j), hash, o)
+			c.checkKeyHash(fmt.Sprintf("%sKeyHashes[%d]", at, j), hash, o)
 		}
 	}
 }
 
-func (c *checker) keyHash(field, hash string, o *document.Organisation) {
+func (c *checker) checkKeyHash(field, hash string, o *document.Organisation) {
 	const digestBytes = 32
 	if raw, err := hex.DecodeString(hash); err != nil || len(raw) != digestBytes || hash != strings.ToLower(hash) {
-		c.d.Report(field, fmt.Sprintf("%q", hash), "a SHA-256 in lower-case hexadecimal")
+		c.decoder.Report(field, fmt.Sprintf("%q", hash), "a SHA-256 in lower-case hexadecimal")
 		return
 	}
-	if other, taken := c.p.keys[hash]; taken {
-		c.d.Report(field, fmt.Sprintf("the key of %q", other.Name), "a key of one organisation only")
+	if other, taken := c.plan.keys[hash]; taken {
+		c.decoder.Report(field, fmt.Sprintf("the key of %q", other.Name), "a key of one organisation only")
 		return
 	}
-	c.p.keys[hash] = o
+	c.plan.keys[hash] = o
 }
 
-func (c *checker) pools() {
+func (c *checker) checkPools() {
 	seen := make(map[string]bool)
-	for i := range c.p.Configuration.Pools {
-		o := &c.p.Configuration.Pools[i]
+	for i := range c.plan.Configuration.Pools {
+		o := &c.plan.Configuration.Pools[i]
 		at := fmt.Sprintf("Pools[%d].", i)
-		c.unique(seen, at+"Name", string(o.Name))
-		c.atLeast(at+"MaxInFlight", o.MaxInFlight, 1)
-		c.atLeast(at+"Slots", o.Slots, 0)
+		c.checkUniqueName(seen, at+"Name", string(o.Name))
+		c.checkMin(at+"MaxInFlight", o.MaxInFlight, 1)
+		c.checkMin(at+"Slots", o.Slots, 0)
 		if o.Model != "" {
-			c.atLeast(at+"PrefillPerSecond", o.PrefillPerSecond, 1)
-			c.atLeast(at+"DecodePerSecond", o.DecodePerSecond, 1)
+			c.checkMin(at+"PrefillPerSecond", o.PrefillPerSecond, 1)
+			c.checkMin(at+"DecodePerSecond", o.DecodePerSecond, 1)
 		}
-		c.p.pools[o.Name] = o
-		c.wanted(at+"Wanted", o.Wanted)
+		c.plan.pools[o.Name] = o
+		c.checkWanted(at+"Wanted", o.Wanted)
 	}
 }
 
-func (c *checker) wanted(field string, list []document.Wanted) {
+func (c *checker) checkWanted(field string, list []document.Wanted) {
 	seen := make(map[string]bool)
 	for i, w := range list {
 		at := fmt.Sprintf("%s[%d].", field, i)
-		c.unique(seen, at+"AvailabilityZone", string(w.AvailabilityZone))
-		c.atLeast(at+"Hosts", w.Hosts, 0)
-		if len(c.p.Configuration.Prices) == 0 {
-			c.d.Report(at+"Hosts", "a wanted size without Prices", "Prices, so that hosts can be chosen")
+		c.checkUniqueName(seen, at+"AvailabilityZone", string(w.AvailabilityZone))
+		c.checkMin(at+"Hosts", w.Hosts, 0)
+		if len(c.plan.Configuration.Prices) == 0 {
+			c.decoder.Report(at+"Hosts", "a wanted size without Prices", "Prices, so that hosts can be chosen")
 		}
 	}
 }
 
-func (c *checker) services() {
-	if len(c.p.Configuration.Services) == 0 {
-		c.d.Report("Services", "nothing", "one service or more")
+func (c *checker) checkServices() {
+	if len(c.plan.Configuration.Services) == 0 {
+		c.decoder.Report("Services", "nothing", "at least one service")
 	}
 	seen := make(map[string]bool)
-	for i := range c.p.Configuration.Services {
-		s := &c.p.Configuration.Services[i]
+	for i := range c.plan.Configuration.Services {
+		s := &c.plan.Configuration.Services[i]
 		at := fmt.Sprintf("Services[%d].", i)
-		c.unique(seen, at+"Name", string(s.Name))
+		c.checkUniqueName(seen, at+"Name", string(s.Name))
 		if s.Kind != document.KindModel && s.Kind != document.KindPlain {
-			c.d.Report(at+"Kind", fmt.Sprintf("%q", s.Kind), "model, plain")
+			c.decoder.Report(at+"Kind", fmt.Sprintf("%q", s.Kind), "model, plain")
 		}
 		if s.Timeout <= 0 {
-			c.d.Report(at+"Timeout", s.Timeout.String(), "a duration above 0")
+			c.decoder.Report(at+"Timeout", s.Timeout.String(), "a duration above 0")
 		}
-		c.pool(at+"Pool", s.Pool, s.Kind)
-		c.p.services[s.Name] = s
+		c.checkPoolReference(at+"Pool", s.Pool, s.Kind)
+		c.plan.services[s.Name] = s
 	}
 }
 
-func (c *checker) pool(field string, name identifier.Pool, kind document.Kind) {
-	pool, ok := c.p.pools[name]
+func (c *checker) checkPoolReference(field string, name identifier.Pool, kind document.Kind) {
+	pool, ok := c.plan.pools[name]
 	if !ok {
-		c.d.Report(field, fmt.Sprintf("%q", name), "the name of one of Pools")
+		c.decoder.Report(field, fmt.Sprintf("%q", name), "the name of one of Pools")
 		return
 	}
 	if kind == document.KindModel && pool.Model == "" {
-		c.d.Report(field, fmt.Sprintf("%q, a pool without Model", name), "a pool with a Model")
+		c.decoder.Report(field, fmt.Sprintf("%q, a pool without Model", name), "a pool with a Model")
 	}
 }
 
-func (c *checker) prices() {
-	for i, price := range c.p.Configuration.Prices {
+func (c *checker) checkPrices() {
+	for i, price := range c.plan.Configuration.Prices {
 		at := fmt.Sprintf("Prices[%d].", i)
 		if price.Class != document.ClassReclaimable && price.Class != document.ClassOnDemand {
-			c.d.Report(at+"Class", fmt.Sprintf("%q", price.Class), "reclaimable, on-demand")
+			c.decoder.Report(at+"Class", fmt.Sprintf("%q", price.Class), "reclaimable, on-demand")
 		}
 		if price.PerHour < 0 {
-			c.d.Report(at+"PerHour", fmt.Sprint(price.PerHour), "0 or more")
+			c.decoder.Report(at+"PerHour", fmt.Sprint(price.PerHour), "0 or more")
 		}
 		key := priceKey{price.AvailabilityZone, price.Class}
-		if _, twice := c.p.prices[key]; twice {
-			c.d.Report(at+"AvailabilityZone", fmt.Sprintf("%s %s a second time", price.AvailabilityZone, price.Class), "each pair once")
+		if _, twice := c.plan.prices[key]; twice {
+			c.decoder.Report(at+"AvailabilityZone", fmt.Sprintf("%s %s a second time", price.AvailabilityZone, price.Class), "each pair once")
 		}
-		c.p.prices[key] = price.PerHour
+		c.plan.prices[key] = price.PerHour
 	}
-	if c.p.Configuration.Fleet.SpendingPerHour < 0 {
-		c.d.Report("Fleet.SpendingPerHour", fmt.Sprint(c.p.Configuration.Fleet.SpendingPerHour), "0 or more")
+	if c.plan.Configuration.Fleet.SpendingPerHour < 0 {
+		c.decoder.Report("Fleet.SpendingPerHour", fmt.Sprint(c.plan.Configuration.Fleet.SpendingPerHour), "0 or more")
 	}
-	c.atLeast("Fleet.LoadsPerMinute", c.p.Configuration.Fleet.LoadsPerMinute, 0)
-	if c.p.Configuration.Routing.FirstToken <= 0 {
-		c.d.Report("Routing.FirstToken", c.p.Configuration.Routing.FirstToken.String(), "a duration above 0")
+	c.checkMin("Fleet.LoadsPerMinute", c.plan.Configuration.Fleet.LoadsPerMinute, 0)
+	if c.plan.Configuration.Routing.FirstToken <= 0 {
+		c.decoder.Report("Routing.FirstToken", c.plan.Configuration.Routing.FirstToken.String(), "a duration above 0")
 	}
-	if c.p.Configuration.Routing.RecomputeWeight < 0 {
-		c.d.Report("Routing.RecomputeWeight", fmt.Sprint(c.p.Configuration.Routing.RecomputeWeight), "0 or more")
+	if c.plan.Configuration.Routing.RecomputeWeight < 0 {
+		c.decoder.Report("Routing.RecomputeWeight", fmt.Sprint(c.plan.Configuration.Routing.RecomputeWeight), "0 or more")
 	}
 }
 
-func (c *checker) rules() {
+func (c *checker) checkRules() {
 	names := make(map[string]bool)
 	conditions := make(map[string]string)
-	always := ""
-	for i := range c.p.Configuration.Rules {
-		r := &c.p.Configuration.Rules[i]
+	unconditional := ""
+	for i := range c.plan.Configuration.Rules {
+		r := &c.plan.Configuration.Rules[i]
 		at := fmt.Sprintf("Rules[%d].", i)
-		c.unique(names, at+"Name", r.Name)
-		c.action(at+"Then.", &r.Then)
-		if always != "" {
-			c.d.Report(at+"When", "a rule that is never reached, as "+always+" always holds", "rules before the one that always holds")
+		c.checkUniqueName(names, at+"Name", r.Name)
+		c.checkAction(at+"Then.", &r.Then)
+		if unconditional != "" {
+			c.decoder.Report(at+"When", "a rule that is never reached, as "+unconditional+" always holds", "rules before the one that always holds")
 		}
-		text := c.condition(at+"When", r.When)
+		text := c.compileCondition(at+"When", r.When)
 		if earlier, twice := conditions[text]; twice && text != "" {
-			c.d.Report(at+"When", "the condition of "+earlier+" again, so never reached", "a condition of its own")
+			c.decoder.Report(at+"When", "the condition of "+earlier+" again, so never reached", "a condition of its own")
 		}
 		conditions[text] = r.Name
 		if text == "true" {
-			always = r.Name
+			unconditional = r.Name
 		}
 	}
 }
 
-// condition compiles one condition and returns its normal form for
-// comparison, empty if it has a problem.
-func (c *checker) condition(field, when string) string {
+// compileCondition compiles one condition and returns its normal form, by which
+// conditions are compared, or "" if it has a problem.
+func (c *checker) compileCondition(field, when string) string {
 	program, err := expr.Compile(when, expr.Env(&Facts{}), expr.AsBool())
 	if err != nil {
-		c.d.Report(field, firstLine(err.Error()), "a boolean expression over the facts of a request")
+		c.decoder.Report(field, firstLine(err.Error()), "a boolean expression over the facts of a request")
 		return ""
 	}
-	c.p.conditions = append(c.p.conditions, program)
+	c.plan.conditions = append(c.plan.conditions, program)
 	root := program.Node()
-	names := nameChecker{c: c, field: field}
+	names := nameChecker{checker: c, field: field}
 	ast.Walk(&root, &names)
-	if !names.asks {
-		return c.constant(field, program)
+	if !names.usesFacts {
+		return c.checkConstant(field, program)
 	}
-	if contradicts(root, make(map[string]string)) {
-		c.d.Report(field, "a condition that never holds: it wants one fact to be two things", "one that can hold")
+	if isContradiction(root, make(map[string]string)) {
+		c.decoder.Report(field, "a condition that never holds: it requires one fact to equal two different strings", "one that can hold")
 	}
 	return root.String()
 }
 
-// constant evaluates a condition that asks for no fact.
-func (c *checker) constant(field string, program *vm.Program) string {
+// checkConstant evaluates a condition that uses no fact. It returns the normal form
+// "true", or "" if the condition is not true.
+func (c *checker) checkConstant(field string, program *vm.Program) string {
 	out, err := expr.Run(program, &Facts{})
 	if err != nil || out != true {
-		c.d.Report(field, "a condition that never holds", "one that can hold")
+		c.decoder.Report(field, "a condition that never holds", "one that can hold")
 		return ""
 	}
 	return "true"
 }
 
-// contradicts finds a fact that is compared with two different texts within
-// one conjunction.
-func contradicts(n ast.Node, seen map[string]string) bool {
+// isContradiction reports whether a conjunction requires one fact to equal two
+// different strings. seen holds the strings found so far, by fact.
+func isContradiction(n ast.Node, seen map[string]string) bool {
 	b, ok := n.(*ast.BinaryNode)
 	if !ok {
 		return false
 	}
 	if b.Operator == "&&" || b.Operator == "and" {
-		return contradicts(b.Left, seen) || contradicts(b.Right, seen)
+		return isContradiction(b.Left, seen) || isContradiction(b.Right, seen)
 	}
 	id, isID := b.Left.(*ast.IdentifierNode)
 	text, isText := b.Right.(*ast.StringNode)
@@ -244,23 +246,23 @@
 	return line
 }
 
-func (c *checker) action(at string, a *document.Action) {
+func (c *checker) checkAction(at string, a *document.Action) {
 	if a.Priority != "" {
-		c.priority(at+"Priority", a.Priority)
+		c.checkPriority(at+"Priority", a.Priority)
 	}
 	if a.Pool != "" {
-		c.pool(at+"Pool", a.Pool, "")
+		c.checkPoolReference(at+"Pool", a.Pool, "")
 	}
 	if a.HoldFor != "" {
-		c.witness(at+"HoldFor", a.HoldFor)
+		c.checkPlainService(at+"HoldFor", a.HoldFor)
 	}
 	if a.RetryAfter > 0 && a.Refuse == "" {
-		c.d.Report(at+"RetryAfter", a.RetryAfter.String(), "only beside Refuse")
+		c.decoder.Report(at+"RetryAfter", a.RetryAfter.String(), "only beside Refuse")
 	}
 }
 
-func (c *checker) witness(field string, name identifier.Service) {
-	if s, ok := c.p.services[name]; !ok || s.Kind != document.KindPlain {
-		c.d.Report(field, fmt.Sprintf("%q", name), "the name of a plain service")
+func (c *checker) checkPlainService(field string, name identifier.Service) {
+	if s, ok := c.plan.services[name]; !ok || s.Kind != document.KindPlain {
+		c.decoder.Report(field, fmt.Sprintf("%q", name), "the name of a plain service")
 	}
 }
--- a/internal/config/compiler/compiler_test.go
+++ b/internal/config/compiler/compiler_test.go
@@ -15,9 +15,9 @@
 Routing: {FirstToken: 330ms}
 `
 
-func TestCompileFindsMistakes(t *testing.T) {
-	// Each mistake must be told with its line, its field, what was found and
-	// what is allowed.
+func TestCompileReportsProblems(t *testing.T) {
+	// Each problem must name its line, its field, what was found and what is
+	// allowed.
 	if _, err := Compile("f", []byte(valid)); err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestSettingsFindMistakes(t *testing.T) {
+func TestSettingsReportProblems(t *testing.T) {
 	good := "Host: h\nAvailabilityZone: z\nCallers: 127.0.0.1:1\nOperators: 127.0.0.1:2\nPeers: 127.0.0.1:3\nPlatform: 127.0.0.1:4\nPeerKey: " +
 		strings.Repeat("ab", 32) + "\n"
 	if _, err := settings.Parse("f", []byte(good)); err != nil {
--- a/internal/config/compiler/names.go
+++ b/internal/config/compiler/names.go
@@ -9,31 +9,31 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// nameChecker finds conditions that compare with a name that does not exist:
-// such a rule can never match, mostly for a typing error.
+// nameChecker reports conditions that compare a fact with a name that does not
+// exist. Such a rule can never match, usually because of a typo.
 type nameChecker struct {
-	c     *checker
-	field string
-	// asks is set when the condition asks for any fact.
-	asks bool
+	checker *checker
+	field   string
+	// usesFacts is set if the condition uses any fact.
+	usesFacts bool
 }
 
 var _ ast.Visitor = (*nameChecker)(nil)
 
-// Visit looks at one node of a condition.
+// Visit checks one node of a condition.
 func (n *nameChecker) Visit(node *ast.Node) {
 	if _, ok := (*node).(*ast.IdentifierNode); ok {
-		n.asks = true
+		n.usesFacts = true
 	}
 	b, ok := (*node).(*ast.BinaryNode)
 	if !ok || b.Operator != "==" {
 		return
 	}
-	n.compare(b.Left, b.Right)
-	n.compare(b.Right, b.Left)
+	n.checkComparison(b.Left, b.Right)
+	n.checkComparison(b.Right, b.Left)
 }
 
-func (n *nameChecker) compare(subject, value ast.Node) {
+func (n *nameChecker) checkComparison(subject, value ast.Node) {
 	id, ok := subject.(*ast.IdentifierNode)
 	if !ok {
 		return
@@ -42,26 +42,27 @@
 	if !ok {
 		return
 	}
-	known, allowed := n.known(id.Value, text.Value)
+	known, allowed := n.isKnown(id.Value, text.Value)
 	if !known {
-		n.c.d.Report(n.field, fmt.Sprintf("%s %q, which does not exist", id.Value, text.Value), allowed)
+		n.checker.decoder.Report(n.field, fmt.Sprintf("%s %q, which does not exist", id.Value, text.Value), allowed)
 	}
 }
 
-func (n *nameChecker) known(fact, value string) (known bool, allowed string) {
+// isKnown reports whether a fact can have a value, and which values are allowed.
+func (n *nameChecker) isKnown(fact, value string) (known bool, allowed string) {
 	switch fact {
 	case "Organisation":
-		for i := range n.c.p.Configuration.Organisations {
-			known = known || string(n.c.p.Configuration.Organisations[i].Name) == value
+		for i := range n.checker.plan.Configuration.Organisations {
+			known = known || string(n.checker.plan.Configuration.Organisations[i].Name) == value
 		}
 		return known, "the name of one of Organisations"
 	case "Service":
-		_, known = n.c.p.services[identifier.Service(value)]
+		_, known = n.checker.plan.services[identifier.Service(value)]
 		return known, "the name of one of Services"
 	case "Kind":
 		return value == string(document.KindModel) || value == string(document.KindPlain), "model, plain"
 	case "Priority":
-		for _, p := range n.c.p.Configuration.Priorities {
+		for _, p := range n.checker.plan.Configuration.Priorities {
 			known = known || p == value
 		}
 		return known, "one of Priorities"
--- a/internal/config/decoder/decoder.go
+++ b/internal/config/decoder/decoder.go
@@ -1,12 +1,10 @@
-// Package decoder reads YAML into typed records and finds every mistake.
+// Package decoder decodes YAML into structs and reports every mistake.
 //
-// # What it adds to a YAML library
-//
-// The library stops at some mistakes and says little of others. An operator
-// wants all of them at once, each with its file, line, field, what was found
-// and what is allowed. A [Decoder] walks the library's node tree beside the
-// target type and collects [Problem] values; it fills what it can, so that
-// later checks on the meaning can add theirs to the same list.
+// The YAML library stops at some mistakes and describes others poorly. An
+// operator needs all of them at once, each with file, line, field, what was found
+// and what is allowed. A [Decoder] walks the library's node tree along with the
+// target type and collects [Problem] values. It decodes what it can, so that
+// later semantic checks can add their problems to the same list.
 //
 // # Usage
 //
@@ -17,9 +15,9 @@
 //	}
 //	if err := d.Err(); err != nil { ... }
 //
-// Field paths read like Go: Rules[2].Then.Pool. Fields are matched by their
-// exact Go name. Scalars with an UnmarshalText method parse themselves and
-// return as error what would be allowed.
+// Field paths are written as in Go: Rules[2].Then.Pool. YAML keys match the exact
+// Go name of a field. A type with an UnmarshalText method decodes itself from a
+// scalar; the text of its error states what is allowed.
 package decoder
 
 import (
@@ -33,33 +31,37 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Decoder collects the problems of one document. The zero value is ready.
+// Decoder decodes one document and collects its problems. The zero value is ready
+// for use.
 type Decoder struct {
 	// File is the name shown in problems.
 	File string
 
 	problems Problems
-	lines    map[string]int
+	// lines maps field paths to line numbers.
+	lines map[string]int
 }
 
 // Problem is one mistake in a document.
 type Problem struct {
-	File    string
-	Line    int
-	Field   string
+	File string
+	Line int
+	// Field is the path of the field.
+	Field string
+	// Found and Allowed describe the value found and the values allowed.
 	Found   string
 	Allowed string
 }
 
-// Error formats p as one line that editors can jump to.
+// Error formats p as one line that starts with FILE:LINE, to which editors can jump.
 func (p Problem) Error() string {
 	return fmt.Sprintf("%s:%d: %s: found %s; allowed: %s", p.File, p.Line, p.Field, p.Found, p.Allowed)
 }
 
-// Problems is the error that holds all mistakes of a document.
+// Problems is the error that lists all mistakes of a document.
 type Problems []Problem
 
-// Error lists every problem, a line each.
+// Error returns all problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, len(p))
 	for i := range p {
@@ -68,25 +70,25 @@
 	return strings.Join(lines, "\n")
 }
 
-// Decode parses source into target, a pointer to a struct.
+// Decode decodes source into target, a pointer to a struct. Err returns the problems.
 func (d *Decoder) Decode(source []byte, target any) {
 	d.lines = make(map[string]int)
 	var root yaml.Node
 	if err := yaml.Unmarshal(source, &root); err != nil {
-		d.syntax(err)
+		d.reportSyntaxError(err)
 		return
 	}
 	if len(root.Content) == 0 {
 		d.problems = append(d.problems, Problem{d.File, 1, "document", "nothing", "a mapping"})
 		return
 	}
-	d.value(root.Content[0], reflect.ValueOf(target).Elem(), "")
+	d.decodeValue(root.Content[0], reflect.ValueOf(target).Elem(), "")
 }
 
-// Report adds a problem found by a later check. The line is that of the field
-// or of its nearest parent that is written out.
+// Report adds a problem found by a later check. Its line is that of the field, or
+// of the nearest parent that is present in the document.
 func (d *Decoder) Report(field, found, allowed string) {
-	d.problems = append(d.problems, Problem{d.File, d.line(field), field, found, allowed})
+	d.problems = append(d.problems, Problem{d.File, d.lineOf(field), field, found, allowed})
 }
 
 // Err returns all problems as one error, or nil.
@@ -99,7 +101,7 @@
 
 var syntaxLine = regexp.MustCompile(`line (\d+)`)
 
-func (d *Decoder) syntax(err error) {
+func (d *Decoder) reportSyntaxError(err error) {
 	line := 1
 	if m := syntaxLine.FindStringSubmatch(err.Error()); m != nil {
 		line, _ = strconv.Atoi(m[1])
@@ -107,7 +109,7 @@
 	d.problems = append(d.problems, Problem{d.File, line, "document", strings.TrimPrefix(err.Error(), "yaml: "), "YAML"})
 }
 
-func (d *Decoder) line(field string) int {
+func (d *Decoder) lineOf(field string) int {
 	for field != "" {
 		if line, ok := d.lines[field]; ok {
 			return line
@@ -117,34 +119,34 @@
 	return 1
 }
 
-func (d *Decoder) value(n *yaml.Node, v reflect.Value, path string) {
+func (d *Decoder) decodeValue(n *yaml.Node, v reflect.Value, path string) {
 	if n.Kind == yaml.AliasNode {
 		n = n.Alias
 	}
 	d.lines[path] = n.Line
 	if u, ok := v.Addr().Interface().(encoding.TextUnmarshaler); ok {
-		d.text(n, u, path)
+		d.decodeText(n, u, path)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		d.record(n, v, path)
+		d.decodeStruct(n, v, path)
 	case reflect.Slice:
-		d.list(n, v, path)
+		d.decodeList(n, v, path)
 	default:
-		d.scalar(n, v, path)
+		d.decodeScalar(n, v, path)
 	}
 }
 
-func (d *Decoder) record(n *yaml.Node, v reflect.Value, path string) {
+func (d *Decoder) decodeStruct(n *yaml.Node, v reflect.Value, path string) {
 	if n.Kind != yaml.MappingNode {
-		d.at(n, path, "a mapping of "+fieldNames(v.Type()))
+		d.reportNode(n, path, "a mapping of "+fieldNames(v.Type()))
 		return
 	}
 	seen := make(map[string]bool)
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		key := n.Content[i]
-		field := join(path, key.Value)
+		field := joinPath(path, key.Value)
 		d.lines[field] = key.Line
 		if seen[key.Value] {
 			d.problems = append(d.problems, Problem{d.File, key.Line, field, "the field twice", "each field once"})
@@ -156,39 +158,39 @@
 			d.problems = append(d.problems, Problem{d.File, key.Line, field, "an unknown field", fieldNames(v.Type())})
 			continue
 		}
-		d.value(n.Content[i+1], v.FieldByIndex(sf.Index), field)
+		d.decodeValue(n.Content[i+1], v.FieldByIndex(sf.Index), field)
 	}
 }
 
-func (d *Decoder) list(n *yaml.Node, v reflect.Value, path string) {
+func (d *Decoder) decodeList(n *yaml.Node, v reflect.Value, path string) {
 	if n.Kind != yaml.SequenceNode {
-		d.at(n, path, "a list")
+		d.reportNode(n, path, "a list")
 		return
 	}
 	out := reflect.MakeSlice(v.Type(), len(n.Content), len(n.Content))
 	for i, item := range n.Content {
-		d.value(item, out.Index(i), fmt.Sprintf("%s[%d]", path, i))
+		d.decodeValue(item, out.Index(i), fmt.Sprintf("%s[%d]", path, i))
 	}
 	v.Set(out)
 }
 
-func (d *Decoder) text(n *yaml.Node, u encoding.TextUnmarshaler, path string) {
+func (d *Decoder) decodeText(n *yaml.Node, u encoding.TextUnmarshaler, path string) {
 	if n.Kind != yaml.ScalarNode {
-		d.at(n, path, "a single value")
+		d.reportNode(n, path, "a single value")
 		return
 	}
 	if err := u.UnmarshalText([]byte(n.Value)); err != nil {
-		d.at(n, path, err.Error())
+		d.reportNode(n, path, err.Error())
 	}
 }
 
-func (d *Decoder) scalar(n *yaml.Node, v reflect.Value, path string) {
+func (d *Decoder) decodeScalar(n *yaml.Node, v reflect.Value, path string) {
 	allowed := map[reflect.Kind]string{
 		reflect.String: "text", reflect.Bool: "true or false",
 		reflect.Int: "a whole number", reflect.Float64: "a number",
 	}[v.Kind()]
 	if n.Kind != yaml.ScalarNode || n.Tag == "!!null" {
-		d.at(n, path, allowed)
+		d.reportNode(n, path, allowed)
 		return
 	}
 	switch v.Kind() {
@@ -211,10 +213,10 @@
 			return
 		}
 	}
-	d.at(n, path, allowed)
+	d.reportNode(n, path, allowed)
 }
 
-func (d *Decoder) at(n *yaml.Node, path, allowed string) {
+func (d *Decoder) reportNode(n *yaml.Node, path, allowed string) {
 	found := map[yaml.Kind]string{yaml.MappingNode: "a mapping", yaml.SequenceNode: "a list"}[n.Kind]
 	if found == "" {
 		found = strconv.Quote(n.Value)
@@ -230,7 +232,7 @@
 	return strings.Join(names, ", ")
 }
 
-func join(path, field string) string {
+func joinPath(path, field string) string {
 	if path == "" {
 		return field
 	}
--- a/internal/config/deployment/deployment.go
+++ b/internal/config/deployment/deployment.go
@@ -1,11 +1,8 @@
-// Package deployment holds what one process is told of its surroundings when
-// the platform starts it.
+// Package deployment holds the settings that a hosting platform fills in for each
+// process that it starts: its addresses, its zone, and the bounds it must keep.
 //
-// # Settings of the host, not of the product
-//
-// Package settings reads the product's own YAML file. Here are the fields that
-// a hosting platform fills in for each process, in the project's terms; package
-// platform decodes them from the platform's format.
+// They are independent of the product's own YAML file, which package settings
+// parses. Package platform decodes them from the platform's format.
 //
 // # Usage
 //
@@ -22,76 +19,79 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Bounds are the times and sizes within which the deployment promises its
-// users that things happen.
+// Bounds holds the times and limits that the deployment guarantees to its users.
 type Bounds struct {
-	// DrainTime is how long a leaving endpoint still takes requests.
+	// DrainTime is how long a leaving endpoint still accepts requests.
 	DrainTime time.Duration
-	// ApplyTime is how long an accepted configuration may take to be in force.
+	// ApplyTime is how long an accepted configuration may take to come into force.
 	ApplyTime time.Duration
-	// Grace is the time between the order to stop and the kill.
+	// Grace is the time between the stop signal and the kill.
 	Grace time.Duration
-	// LeaseTime is the shortest time between two holders of a duty.
+	// LeaseTime is the shortest time between two holders of a lease.
 	LeaseTime time.Duration
-	// RetryShare and RetryReserve bound the repeated sends to one service over
-	// all hosts: a share of its requests, plus a constant for each RetryWindow.
+	// RetryShare and RetryReserve are the retry budget of one service over all
+	// hosts: a fraction of its requests, plus a constant per RetryWindow.
 	RetryShare   float64
 	RetryReserve float64
 	RetryWindow  time.Duration
-	// QuotaWindow is the span over which an organisation's quota is judged.
+	// QuotaWindow is the window over which an organisation's quota is measured.
 	QuotaWindow time.Duration
-	// QuotaOverage, a part of the quota, and QuotaSlack, in the quotas' unit,
-	// are tolerated beyond it.
+	// QuotaOverage, a fraction of the quota, and QuotaSlack, in the quota's unit,
+	// are tolerated above the quota.
 	QuotaOverage float64
 	QuotaSlack   float64
-	// UsageWindow is the span of one usage report.
+	// UsageWindow is the length of the window of one usage report.
 	UsageWindow time.Duration
-	// UsageDue is how long after its end a window's report is due.
+	// UsageDue is the time after the end of a window by which its report is due.
 	UsageDue time.Duration
-	// CanaryShare of all requests for a service, and TrialSlack requests, may go to a version
-	// of its endpoints that turns out to be bad, and none later than RevertTime after it has.
-	CanaryShare float64
-	CanarySlack float64
+	// CanaryShare of all requests for a service, plus CanarySlack requests, may go to a
+	// target version that turns out to be bad, and none later than RollbackTime after that.
+	CanaryShare  float64
+	CanarySlack  float64
 	RollbackTime time.Duration
-	// PrefixCacheTTL is how long an engine's cached prompt part counts as cached.
+	// PrefixCacheTTL is how long a prompt's prefix is assumed to stay in an engine's
+	// prefix cache.
 	PrefixCacheTTL time.Duration
 }
 
-// Deployment is what a process knows at its start.
+// Deployment holds the platform's settings for one process.
 type Deployment struct {
 	Host             identifier.Host
 	AvailabilityZone identifier.AvailabilityZone
 	IP               netip.Addr
 	Zones            []identifier.AvailabilityZone
-	// Callers takes requests, Readiness answers the balancer, Peers takes the
-	// calls of other daemons and of operators on the host.
+	// Callers, Readiness and Peers are the addresses to listen on: for client
+	// requests, for the load balancer's readiness checks, and for calls of other
+	// daemons and of operators on the host.
 	Callers   netip.AddrPort
 	Readiness netip.AddrPort
 	Peers     netip.AddrPort
-	// Metrics is where counters are served.
+	// Metrics is the address at which counters are served.
 	Metrics netip.AddrPort
-	// Seeds are peers' addresses, possibly stale.
+	// Seeds are the addresses of peers to contact first; they may be stale.
 	Seeds []netip.AddrPort
-	// Store and Cloud are the platform's addresses; Cloud is not valid where
-	// there are no orders or reports.
+	// Store and Cloud are the addresses of the platform's APIs. Cloud is invalid if
+	// the deployment has neither usage reports nor fleet sizing.
 	Store netip.AddrPort
 	Cloud netip.AddrPort
-	// UsageReports and Orders say which duties the deployment asks for.
+	// UsageReports and FleetSizing state which lease holder duties the deployment
+	// requires.
 	UsageReports bool
 	FleetSizing  bool
-	// Rollouts: operators order that services be moved to other versions.
+	// Rollouts is set if operators order roll-outs of service versions.
 	Rollouts bool
-	// MemoryBytes is the limit at which the process is killed.
+	// MemoryBytes is the memory limit at which the process is killed.
 	MemoryBytes int64
-	// LinkBytesPerSecond is what the host's link carries in a second, each way; 0 if not known.
+	// LinkBytesPerSecond is the bandwidth of the host's link in each direction; 0 if not
+	// known.
 	LinkBytesPerSecond float64
-	// FirstStart: the whole system starts for the first time.
+	// FirstStart is set if the whole system starts for the first time.
 	FirstStart bool
 	Bounds     Bounds
 }
 
-// Check reports every field that a daemon can't run with, naming the file, the
-// field, what was found and what is allowed.
+// Check returns an error that lists every invalid field with the file, the field,
+// what was found and what is allowed. file is the name shown in the error.
 func (d *Deployment) Check(file string) error {
 	var problems []error
 	report := func(field, found, allowed string) {
@@ -123,8 +123,8 @@
 	return errors.Join(problems...)
 }
 
-// longest is far beyond any bound that makes sense for a request or a stop.
-const longest = 24 * time.Hour
+// maxDuration is far above any useful bound for a request or a stop.
+const maxDuration = 24 * time.Hour
 
 func (d *Deployment) checkBounds(report func(field, found, allowed string)) {
 	for _, b := range []struct {
@@ -139,8 +139,8 @@
 		{"quota window", d.Bounds.QuotaWindow},
 		{"usage window", d.Bounds.UsageWindow},
 	} {
-		if b.value <= 0 || b.value > longest {
-			report(b.field, b.value.String(), "above 0 and at most "+longest.String())
+		if b.value <= 0 || b.value > maxDuration {
+			report(b.field, b.value.String(), "above 0 and at most "+maxDuration.String())
 		}
 	}
 	if d.Bounds.RetryShare < 0 || d.Bounds.RetryShare > 1 {
--- a/internal/config/keeper/keeper.go
+++ b/internal/config/keeper/keeper.go
@@ -1,24 +1,21 @@
 // Package keeper holds the configuration in force at one daemon.
 //
-// # Never backwards
-//
 // Configurations reach a daemon from the platform's watch, from peers, and
-// from an operator's own call, in any order and more than once. The keeper
-// takes one only if its number is above the one in force. A stale read, a
-// peer that lags, or a platform restored from a backup can therefore not
-// bring an old configuration back.
-//
-// # Never bad
+// from an operator's call, in any order and more than once. The keeper accepts
+// one only if its number is higher than that of the configuration in force, so
+// that a stale read, a peer that is behind, or a platform restored from a backup
+// can't bring an old configuration back.
 //
 // A configuration is compiled before it comes into force. One that does not
-// compile, having been written by other hands than ours, is refused aloud:
-// the last good one stays in force, and [Keeper.LastRefusal] says what was wrong.
+// compile, because it was written without the applier's checks, is refused: the
+// last valid one stays in force, the OnRefused callback is called, and
+// [Keeper.LastRefusal] returns the reason.
 //
 // # Usage
 //
-//	k := keeper.New(keeper.Config{Changed: f})
-//	accepted, err := k.Offer(&keeper.Snapshot{...})
-//	s := k.InForce() // nil before the first
+//	k := keeper.New(keeper.Config{OnChange: f})
+//	accepted, err := k.Offer(source, &change)
+//	s := k.Current() // nil before the first
 package keeper
 
 import (
@@ -33,22 +30,23 @@
 	"brasschute/internal/platform/object"
 )
 
-// Change says who made a configuration out of which.
+// Change records who applied a configuration, and from which one it was made.
 type Change struct {
 	Number identifier.ConfigurationNumber
-	From   identifier.ConfigurationNumber
-	Who    string
-	// WhenUnixMilli is by the clock of the daemon that applied it.
+	// From is the number of the configuration that the draft was made from.
+	From identifier.ConfigurationNumber
+	// Who is the operator's name.
+	Who string
+	// WhenUnixMilli is the time by the clock of the daemon that applied it.
 	WhenUnixMilli int64
-	// Token is random; by it a writer whose answer was lost finds its write.
+	// Token is random. A writer that lost the response finds its write by it.
 	Token string
-	// Differs lists removed and added lines, "-" and "+" in front.
+	// Differs lists the removed and added lines, prefixed with "-" and "+".
 	Differs []string
 }
 
-// Record is the configuration as the platform holds it: the text, and the
-// record of how it came to be, in one object, so that neither exists without
-// the other.
+// Record is the configuration as stored on the platform. The text and its change
+// record are one object, so that neither exists without the other.
 type Record struct {
 	Source string
 	Change Change
@@ -56,7 +54,7 @@
 	History []Change
 }
 
-// Snapshot is one configuration with its plan.
+// Snapshot is one configuration with its compiled plan. It is immutable.
 type Snapshot struct {
 	Source string
 	Change Change
@@ -66,24 +64,25 @@
 // Number returns the configuration's number.
 func (s *Snapshot) Number() identifier.ConfigurationNumber { return s.Change.Number }
 
-// Config names who is told of changes.
+// Config holds the keeper's callbacks.
 type Config struct {
-	// OnChange is called after each new configuration; may be nil.
+	// OnChange is called after each new configuration, under the keeper's lock;
+	// may be nil.
 	OnChange func(*Snapshot)
-	// OnRefused is told of each configuration that is refused; may be nil.
+	// OnRefused is called for each refused configuration; may be nil.
 	OnRefused func(identifier.ConfigurationNumber, error)
 }
 
 // Keeper holds the configuration in force. It is safe for concurrent use.
 type Keeper struct {
 	c       Config
-	inForce atomic.Pointer[Snapshot]
+	current atomic.Pointer[Snapshot]
 
-	mu      sync.Mutex
-	refused string
+	mu          sync.Mutex
+	lastRefusal string
 }
 
-// New returns a keeper without configuration.
+// New returns a keeper without a configuration.
 func New(c Config) *Keeper {
 	if c.OnChange == nil {
 		c.OnChange = func(*Snapshot) {}
@@ -94,10 +93,11 @@
 	return &Keeper{c: c}
 }
 
-// Current returns the configuration in force, nil if there is none yet.
-func (k *Keeper) Current() *Snapshot { return k.inForce.Load() }
+// Current returns the configuration in force, or nil if there is none yet.
+func (k *Keeper) Current() *Snapshot { return k.current.Load() }
 
-// Number returns the number in force, 0 if there is none yet.
+// Number returns the number of the configuration in force, or 0 if there is none
+// yet.
 func (k *Keeper) Number() identifier.ConfigurationNumber {
 	if s := k.Current(); s != nil {
 		return s.Number()
@@ -105,15 +105,16 @@
 	return 0
 }
 
-// LastRefusal describes the last configuration refused, if it is newer than the
-// one in force; else it is empty.
+// LastRefusal describes the configuration that was refused last. It is empty if
+// none was refused since the one in force was accepted.
 func (k *Keeper) LastRefusal() string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.refused
+	return k.lastRefusal
 }
 
-// Apply takes in the platform's object, if it is the configuration.
+// Apply offers the configuration of an object from the platform. It ignores
+// deletions and objects of other keys.
 func (k *Keeper) Apply(o *object.Object) {
 	if o.Key != inventory.ConfigurationKey || o.Deleted {
 		return
@@ -126,8 +127,8 @@
 	_, _ = k.Offer(s.Source, &s.Change)
 }
 
-// Offer brings a configuration into force if it is newer and valid. It
-// reports whether it did; an error says why a newer one was refused.
+// Offer brings a configuration into force if it is newer and valid, and reports
+// whether it did. The error, a decoder.Problems, says why a newer one was refused.
 func (k *Keeper) Offer(source string, c *Change) (accepted bool, err error) {
 	if c.Number <= k.Number() {
 		return false, nil
@@ -146,15 +147,15 @@
 	if s.Number() <= k.Number() {
 		return false
 	}
-	k.inForce.Store(s)
-	k.refused = ""
+	k.current.Store(s)
+	k.lastRefusal = ""
 	k.c.OnChange(s)
 	return true
 }
 
 func (k *Keeper) refuse(n identifier.ConfigurationNumber, err error) {
 	k.mu.Lock()
-	k.refused = fmt.Sprintf("configuration %d: %v", n, err)
+	k.lastRefusal = fmt.Sprintf("configuration %d: %v", n, err)
 	k.mu.Unlock()
 	k.c.OnRefused(n, err)
 }
--- a/internal/config/rollout/rollout.go
+++ b/internal/config/rollout/rollout.go
@@ -1,15 +1,15 @@
 // Package rollout holds an operator's order to move a service to another version of its
-// endpoints, and how far it has come.
+// endpoints, and the order's progress.
 //
-// # Phases
+// An order passes through these phases:
 //
 //	Ordered → Trying → Moving → Switching → Complete
 //	              ↘ Reverted (from each but Complete)
 //
-// While it is Trying, a small share of the requests goes to endpoints of the new version.
-// While Moving, requests that would outlast the old endpoints do, too; while Switching all
-// new ones, and the old endpoints end what they have. Complete and Reverted are final for an
-// order; package promoter decides them.
+// In Trying, a small share of the requests goes to endpoints of the target version. In
+// Moving, requests that would outlast the old endpoints go there as well. In Switching, all
+// new requests do, while the old endpoints finish those they have. Complete and Reverted are
+// final for an order; package promoter decides them.
 //
 // # Usage
 //
@@ -25,11 +25,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Phase says how far an order has come. A higher one follows a lower one, and Reverted goes
-// before all others.
+// Phase is the progress of an order. Phases only increase, and Reverted, the highest,
+// overrides all others.
 type Phase uint32
 
-// The phases.
+// The phases, see the package comment.
 const (
 	Ordered Phase = iota
 	Trying
@@ -39,7 +39,7 @@
 	Reverted
 )
 
-// String is for logs.
+// String returns the name of the phase for logs.
 func (p Phase) String() string {
 	names := [...]string{"ordered", "trying", "moving", "switching", "complete", "reverted"}
 	if int(p) >= len(names) {
@@ -48,43 +48,45 @@
 	return names[p]
 }
 
-// IsFinal tells whether nothing follows.
+// IsFinal reports whether no other phase follows.
 func (p Phase) IsFinal() bool { return p >= Complete }
 
-// Rollout is an order with its state as it is stored.
+// Rollout is an order with its stored state.
 type Rollout struct {
 	Service  identifier.Service
 	Target   identifier.Version
 	Duration time.Duration
-	// Created is what the store says of the order's first writing, if anything.
+	// Created is the store's creation mark of the order, empty if it has none. It is only
+	// compared, never interpreted.
 	Created string
-	// Stored is the phase that the store tells: Ordered where it has no state of this order,
-	// Trying where the state says that it is under way, Complete or Reverted.
+	// Stored is the phase according to the store: Ordered if the store has no state of this
+	// order, Trying if the order is under way, else Complete or Reverted.
 	Stored Phase
-	// Phase is the furthest that is known, from the store or from the holder of the duties.
+	// Phase is the furthest phase known, from the store or from the lease holder.
 	Phase Phase
-	// Revision is that of the stored order with its state.
+	// Revision is the store's revision of the order with its state.
 	Revision uint64
 }
 
 const (
-	// Where the version may have only a share of all requests until the deadline, leadPart of
-	// what that comes to is spent on the time for which all new requests go to it. That is
-	// leastLead at the least, in which news reaches nearly all daemons, and mostLead at the
-	// most, in which it is known besides that the old endpoints have nothing left to do.
-	leadPart  = 0.3
-	leastLead = 400 * time.Millisecond
-	mostLead  = 1600 * time.Millisecond
+	// If the target version may only receive a share of all requests until the deadline, the
+	// cutover lead is cutoverLeadRatio of that share of the duration. An update reaches nearly
+	// all daemons within minCutoverLead; within maxCutoverLead it is also known that the old
+	// endpoints have no requests left.
+	cutoverLeadRatio = 0.3
+	minCutoverLead   = 400 * time.Millisecond
+	maxCutoverLead   = 1600 * time.Millisecond
 )
 
-// CutoverLead is how long before the deadline all new requests go to the version that is to be
-// complete by then, where it may have a share of all until then.
+// CutoverLead returns how long before the deadline all new requests switch to the target
+// version, for a version that may receive the given share of all requests until then.
 func (r *Rollout) CutoverLead(share float64) time.Duration {
-	lead := time.Duration(leadPart * share * float64(r.Duration))
-	return min(max(lead, leastLead), mostLead)
+	lead := time.Duration(cutoverLeadRatio * share * float64(r.Duration))
+	return min(max(lead, minCutoverLead), maxCutoverLead)
 }
 
-// CountOld counts the endpoints of other versions.
+// CountOld returns the number of endpoints of versions other than the target, from the
+// endpoints by version.
 func (r *Rollout) CountOld(endpoints map[identifier.Version]int) (n int) {
 	for version, count := range endpoints {
 		if version != r.Target {
@@ -94,7 +96,8 @@
 	return n
 }
 
-// OrderID numbers the order: the same for all who read it, whatever its state.
+// OrderID returns a hash that identifies the order. It is the same at all daemons and does
+// not depend on the order's state.
 func (r *Rollout) OrderID() uint64 {
 	return xxhash.Sum64String(fmt.Sprintf("%s/%s/%d/%s", r.Service, r.Target, r.Duration, r.Created))
 }
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,16 +1,15 @@
-// Package settings reads what one process is told at its start.
+// Package settings parses the start-up settings of one process.
 //
-// # Settings and configuration
-//
-// Settings say where a process is and whom it talks to; they are a file on
-// the host image and differ from host to host. The configuration says what
-// the fleet does; it lives on the platform and changes while processes run.
+// Settings hold the location of a process, its listeners and the addresses it
+// connects to. They are a file on the host image and differ from host to host.
+// The configuration, in contrast, defines what the whole fleet serves; it is
+// stored on the platform and changes while processes run.
 //
 // # Usage
 //
 //	s, err := settings.Parse("entry.yaml", source)
 //
-// An error is a decoder.Problems with all mistakes of the file.
+// The error is a decoder.Problems with all mistakes of the file.
 package settings
 
 import (
@@ -25,28 +24,29 @@
 	"brasschute/internal/core/quantity"
 )
 
-// Defaults of the fields that may be left out.
+// Defaults of optional fields, and limits.
 const (
-	defaultBodyBytes     = 1 << 20
-	defaultHeaderBytes   = 32 << 10
-	defaultBodyTimeout   = 10 * time.Second
-	defaultHeaderTimeout = 5 * time.Second
-	defaultIdleTimeout   = 2 * time.Minute
-	defaultBalancerLag   = 3 * time.Second
-	defaultPatience      = 30 * time.Second
-	defaultLease         = 6 * time.Second
-	defaultStall         = 5 * time.Second
-	defaultFirstStall    = 20 * time.Second
-
-	minKeyBytes  = 32
-	maxBodyBytes = 64 << 20
-	digestBytes  = 32
+	defaultBodyBytes         = 1 << 20
+	defaultHeaderBytes       = 32 << 10
+	defaultBodyTimeout       = 10 * time.Second
+	defaultHeaderTimeout     = 5 * time.Second
+	defaultIdleTimeout       = 2 * time.Minute
+	defaultBalancerLag       = 3 * time.Second
+	defaultDrainPatience     = 30 * time.Second
+	defaultLeaseDuration     = 6 * time.Second
+	defaultStallTimeout      = 5 * time.Second
+	defaultFirstStallTimeout = 20 * time.Second
+
+	minPeerKeyBytes = 32
+	maxBodyBytes    = 64 << 20
+	sha256Bytes     = 32
 )
 
-// Address is an IP address and port.
+// Address is an IP address with a port.
 type Address struct{ netip.AddrPort }
 
-// UnmarshalText reads IP:port; host names are errors.
+// UnmarshalText parses IP:port. Host names and port 0 are errors; the error says
+// what is allowed, as package decoder expects.
 func (a *Address) UnmarshalText(text []byte) error {
 	v, err := netip.ParseAddrPort(string(text))
 	if err != nil || v.Port() == 0 {
@@ -56,23 +56,23 @@
 	return nil
 }
 
-// Settings are those of an entry daemon or a controller.
+// Settings are the settings of an entry daemon or a controller.
 type Settings struct {
-	// Host and AvailabilityZone say who and where the process is.
+	// Host and AvailabilityZone are the host of the process and its zone.
 	Host             identifier.Host
 	AvailabilityZone identifier.AvailabilityZone
 	// Callers, Operators and Peers are the addresses to listen on.
 	Callers   Address
 	Operators Address
 	Peers     Address
-	// AdvertisedPeers is the address under which peers reach Peers, if it is
-	// another one.
+	// AdvertisedPeers is the address at which peers reach the Peers listener,
+	// if it differs from Peers.
 	AdvertisedPeers Address
 	// Platform is the address of the platform's API.
 	Platform Address
-	// Seeds are peers to start with while the platform cannot be read.
+	// Seeds are the peers to contact first while the platform cannot be read.
 	Seeds []Address
-	// PeerKey is shared by all processes of the system, in hexadecimal.
+	// PeerKey is the key shared by all processes of the system, in hexadecimal.
 	PeerKey      string
 	OperatorKeys []OperatorKey
 	Limits       Limits
@@ -82,7 +82,7 @@
 	Log          Log
 }
 
-// PeerAddress is where peers reach the process.
+// PeerAddress returns the address at which peers reach the process.
 func (s *Settings) PeerAddress() Address {
 	if s.AdvertisedPeers.IsValid() {
 		return s.AdvertisedPeers
@@ -90,19 +90,20 @@
 	return s.Peers
 }
 
-// Source is the local address from which the process connects: a host may
-// have several, and the others know it by this one.
+// Source returns the local address to connect from, the IP of the Peers listener:
+// a host may have several addresses, and peers know it by this one.
 func (s *Settings) Source() net.Addr {
 	return net.TCPAddrFromAddrPort(netip.AddrPortFrom(s.Peers.Addr(), 0))
 }
 
-// OperatorKey names an operator by the SHA-256 of the operator's key.
+// OperatorKey is the key of one operator.
 type OperatorKey struct {
-	Name    string
+	Name string
+	// KeyHash is the SHA-256 of the key, in hexadecimal.
 	KeyHash string
 }
 
-// Limits bound what a caller may send.
+// Limits bounds what a caller may send and how long it may take.
 type Limits struct {
 	BodyBytes     int
 	HeaderBytes   int
@@ -111,34 +112,38 @@
 	IdleTimeout   quantity.Duration
 }
 
-// Drain sets the pace of a graceful stop.
+// Drain sets the times of a graceful stop.
 type Drain struct {
-	// BalancerLag is how long the balancer may still send requests after
-	// readiness fails.
+	// BalancerLag is how long the load balancer may still send requests after the
+	// readiness check fails.
 	BalancerLag quantity.Duration
-	// Patience is how long a stop waits for answers before handing over.
+	// Patience is how long a stop waits for responses in progress before it hands
+	// them over.
 	Patience quantity.Duration
 }
 
-// Engine sets when an engine that is silent counts as failed.
+// Engine sets after how long a silent engine counts as failed.
 type Engine struct {
+	// Stall is the timeout between two events of a stream, FirstStall that before
+	// the first event.
 	Stall      quantity.Duration
 	FirstStall quantity.Duration
 }
 
-// Lease sets how leadership of a zone is held.
+// Lease sets the terms of a zone's lease.
 type Lease struct {
 	Duration quantity.Duration
 }
 
-// Log sets what is logged.
+// Log sets the level and format of the log.
 type Log struct {
 	// Level is debug, info, warn or error; Format is json or text.
 	Level  string
 	Format string
 }
 
-// Parse reads and checks settings.
+// Parse parses and checks settings; file is the name shown in problems. The error
+// is a decoder.Problems.
 func Parse(file string, source []byte) (*Settings, error) {
 	s := defaults()
 	d := decoder.Decoder{File: file}
@@ -156,9 +161,9 @@
 			BodyBytes: defaultBodyBytes, HeaderBytes: defaultHeaderBytes, BodyTimeout: quantity.Duration(defaultBodyTimeout),
 			HeaderTimeout: quantity.Duration(defaultHeaderTimeout), IdleTimeout: quantity.Duration(defaultIdleTimeout),
 		},
-		Drain:  Drain{BalancerLag: quantity.Duration(defaultBalancerLag), Patience: quantity.Duration(defaultPatience)},
-		Engine: Engine{Stall: quantity.Duration(defaultStall), FirstStall: quantity.Duration(defaultFirstStall)},
-		Lease:  Lease{Duration: quantity.Duration(defaultLease)},
+		Drain:  Drain{BalancerLag: quantity.Duration(defaultBalancerLag), Patience: quantity.Duration(defaultDrainPatience)},
+		Engine: Engine{Stall: quantity.Duration(defaultStallTimeout), FirstStall: quantity.Duration(defaultFirstStallTimeout)},
+		Lease:  Lease{Duration: quantity.Duration(defaultLeaseDuration)},
 		Log:    Log{Level: "info", Format: "json"},
 	}
 }
@@ -170,14 +175,14 @@
 	if s.AvailabilityZone == "" {
 		d.Report("AvailabilityZone", "nothing", "a name")
 	}
-	s.addresses(d)
-	s.keys(d)
-	s.bounds(d)
-	oneOf(d, "Log.Level", s.Log.Level, "debug", "info", "warn", "error")
-	oneOf(d, "Log.Format", s.Log.Format, "json", "text")
+	s.checkAddresses(d)
+	s.checkKeys(d)
+	s.checkBounds(d)
+	checkOneOf(d, "Log.Level", s.Log.Level, "debug", "info", "warn", "error")
+	checkOneOf(d, "Log.Format", s.Log.Format, "json", "text")
 }
 
-func (s *Settings) addresses(d *decoder.Decoder) {
+func (s *Settings) checkAddresses(d *decoder.Decoder) {
 	seen := make(map[netip.AddrPort]string)
 	for _, a := range []struct {
 		name    string
@@ -194,8 +199,8 @@
 	}
 }
 
-func (s *Settings) keys(d *decoder.Decoder) {
-	if key, err := hex.DecodeString(s.PeerKey); err != nil || len(key) < minKeyBytes {
+func (s *Settings) checkKeys(d *decoder.Decoder) {
+	if key, err := hex.DecodeString(s.PeerKey); err != nil || len(key) < minPeerKeyBytes {
 		d.Report("PeerKey", fmt.Sprintf("%d characters", len(s.PeerKey)), "at least 64 hexadecimal digits, as 'brasschute key' prints")
 	}
 	names := make(map[string]bool)
@@ -205,13 +210,13 @@
 			d.Report(at+"Name", fmt.Sprintf("%q", k.Name), "a name of its own")
 		}
 		names[k.Name] = true
-		if h, err := hex.DecodeString(k.KeyHash); err != nil || len(h) != digestBytes {
+		if h, err := hex.DecodeString(k.KeyHash); err != nil || len(h) != sha256Bytes {
 			d.Report(at+"KeyHash", fmt.Sprintf("%q", k.KeyHash), "a SHA-256 in hexadecimal, as 'brasschute key' prints")
 		}
 	}
 }
 
-func (s *Settings) bounds(d *decoder.Decoder) {
+func (s *Settings) checkBounds(d *decoder.Decoder) {
 	if s.Limits.BodyBytes < 1 || s.Limits.BodyBytes > maxBodyBytes {
 		d.Report("Limits.BodyBytes", fmt.Sprint(s.Limits.BodyBytes), fmt.Sprintf("1 to %d", maxBodyBytes))
 	}
@@ -236,7 +241,7 @@
 	}
 }
 
-func oneOf(d *decoder.Decoder, field, value string, allowed ...string) {
+func checkOneOf(d *decoder.Decoder, field, value string, allowed ...string) {
 	for _, a := range allowed {
 		if a == value {
 			return
--- a/internal/config/versioner/versioner.go
+++ b/internal/config/versioner/versioner.go
@@ -1,23 +1,19 @@
 // Package versioner keeps the newest configuration that a daemon has seen.
 //
-// # Never back
+// Configurations arrive from watches, from lists that may be stale, and from
+// peers, in any order. [Versioner.Offer] accepts one only if its number is higher
+// than that of the configuration in force, so that a daemon never handles a
+// request with an older version than the request before.
 //
-// Configurations come from watches, lists that may be stale, and peers, in any
-// order. [Versioner.Offer] takes one only if its number is higher than that in
-// force, so that a daemon never handles a request by an older version than the
-// one before.
-//
-// # Behind
-//
-// Numbers travel faster than configurations, which may be large. [Versioner.ObserveNumber]
-// notes a number that others have, and [Versioner.Lag] says for how long this daemon
-// has known that it lacks it.
+// Numbers spread faster than configurations, which may be large.
+// [Versioner.ObserveNumber] records a number that a peer has, and [Versioner.Lag]
+// returns since when this daemon has known of a newer number than its own.
 //
 // # Usage
 //
-//	v.Told(24)
+//	v.ObserveNumber(24)
 //	v.Offer(c)
-//	c := v.InForce() // nil until one is known
+//	c := v.Current() // nil until one is known
 //	lag, behind := v.Lag()
 package versioner
 
@@ -30,16 +26,16 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Lag is how far a daemon is behind others.
+// Lag describes how far a daemon is behind its peers.
 type Lag struct {
-	// Number is the highest that others were heard to have.
+	// Number is the highest configuration number seen at a peer.
 	Number identifier.ConfigurationNumber
-	// Since is when a number above the one in force was first heard of.
+	// Since is when a number above the one in force was first observed.
 	Since time.Time
 }
 
-// Versioner holds one catalog. The zero value holds none; it is safe for
-// concurrent use.
+// Versioner holds the newest catalog. The zero value holds none and is ready for
+// use. It is safe for concurrent use.
 type Versioner struct {
 	mu      sync.Mutex
 	current atomic.Pointer[catalog.Catalog]
@@ -47,7 +43,7 @@
 	lag atomic.Pointer[Lag]
 }
 
-// Offer brings a catalog into force if it is newer, and reports whether it did.
+// Offer replaces the current catalog by a newer one and reports whether it did.
 func (v *Versioner) Offer(c *catalog.Catalog) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -61,7 +57,7 @@
 	return true
 }
 
-// ObserveNumber notes the number of a configuration that others have.
+// ObserveNumber records the number of a configuration that a peer has.
 func (v *Versioner) ObserveNumber(n identifier.ConfigurationNumber) {
 	if lag := v.lag.Load(); lag != nil && lag.Number >= n {
 		return
@@ -78,7 +74,8 @@
 	v.lag.Store(next)
 }
 
-// Lag returns how far the daemon is behind, and whether it is.
+// Lag returns how far the daemon is behind. The second result is false if it is
+// not behind.
 func (v *Versioner) Lag() (Lag, bool) {
 	lag := v.lag.Load()
 	if lag == nil {
@@ -87,5 +84,5 @@
 	return *lag, true
 }
 
-// Current returns the newest catalog, or nil.
+// Current returns the newest catalog, or nil if none is known yet.
 func (v *Versioner) Current() *catalog.Catalog { return v.current.Load() }
--- a/internal/config/versioner/versioner_test.go
+++ b/internal/config/versioner/versioner_test.go
@@ -9,19 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-// Configurations and numbers come from the store and peers in any order. What is in force
-// never falls, and a daemon is behind exactly while it has heard of a higher number.
-func TestInForceNeverFalls(t *testing.T) {
+// Configurations and numbers arrive from the store and from peers in any order. The number
+// in force must never decrease, and Lag must report the daemon as behind exactly while it
+// has observed a higher number than the one in force.
+func TestCurrentNumberNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var v Versioner
-		var offered, told identifier.ConfigurationNumber
+		var offered, observed identifier.ConfigurationNumber
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			n := identifier.ConfigurationNumber(rapid.IntRange(1, 12).Draw(t, "number"))
-			if rapid.Bool().Draw(t, "told") {
+			if rapid.Bool().Draw(t, "observed") {
 				v.ObserveNumber(n)
-				told = max(told, n)
-			} else if news := v.Offer(catalog.New(catalog.Config{Number: n})); news != (n > offered) {
-				t.Fatalf("%d offered after %d: news %v", n, offered, news)
+				observed = max(observed, n)
+			} else if accepted := v.Offer(catalog.New(catalog.Config{Number: n})); accepted != (n > offered) {
+				t.Fatalf("%d offered after %d: accepted %v", n, offered, accepted)
 			} else {
 				offered = max(offered, n)
 			}
@@ -29,8 +30,8 @@
 				t.Fatalf("%v in force, %d offered", c, offered)
 			}
 			lag, behind := v.Lag()
-			if behind != (told > offered) || behind && lag.Number != told {
-				t.Fatalf("behind %v by %+v; %d offered, %d told", behind, lag, offered, told)
+			if behind != (observed > offered) || behind && lag.Number != observed {
+				t.Fatalf("behind %v by %+v; %d offered, %d observed", behind, lag, offered, observed)
 			}
 		}
 	})
