--- a/internal/engine/caller/caller.go
+++ b/internal/engine/caller/caller.go
@@ -1,21 +1,16 @@
-// Package caller speaks the engines' protocol.
+// Package caller is a client of the engines' protocol.
 //
-// # States of an attempt
+// An attempt is [Unsent] until its first byte is sent or, on a reused connection,
+// until the connection is obtained. From then on it is [MaybeSent], and [Answered]
+// once the endpoint's status is known. Only an unsent attempt, or one that the
+// endpoint explicitly refused, may be reported as "not run": once the first byte
+// is sent, this side can't tell whether it was read.
 //
-// An attempt is [Unsent] until bytes have gone out, or on a reused connection
-// until that has been obtained, [MaybeSent] from then on, and [Answered] once
-// the endpoint's status is known. Only an
-// unsent attempt, or one that the endpoint explicitly refused, may be
-// reported as "not run": after the first byte is on its way nobody on this
-// side can tell whether it was read.
-//
-// # No hidden retries
-//
-// The standard transport repeats a request by itself when a reused connection
-// turns out closed, and it takes an Idempotency-Key as permission to do so
-// even after the request was written. A call that may not be repeated
-// therefore goes out on a fresh connection, and its body has no GetBody, which
-// the transport needs for a repeat.
+// http.Transport repeats a request by itself if a reused connection turns out to
+// be closed, and treats an Idempotency-Key as permission to do so even after the
+// request was written. A call that must run at most once is therefore sent on a
+// new connection, and its body has no GetBody, which the transport needs for a
+// repeat.
 //
 // # Usage
 //
@@ -60,48 +55,51 @@
 	Answered
 )
 
-// String names the state.
+// String returns the name of the state for logs.
 func (s State) String() string {
 	return [...]string{"unsent", "maybe sent", "answered"}[s]
 }
 
-// Failures of a stream.
+// Errors of a call or stream. Their texts may be part of an answer to a client.
 var (
-	// ErrNotRun: the endpoint explicitly refused to run the call.
+	// ErrNotRun means that the endpoint explicitly refused to run the call.
 	ErrNotRun = errors.New("endpoint: refused, not run")
-	// ErrTruncated: the stream ended without its end mark.
+	// ErrTruncated means that the stream ended without its end marker.
 	ErrTruncated = errors.New("endpoint: stream ended without its end mark")
-	// ErrWrongStream: a frame of another stream arrived.
+	// ErrWrongStream means that a frame of another stream arrived, or that a token
+	// is missing before a frame.
 	ErrWrongStream = errors.New("endpoint: frame of another stream")
-	// ErrStreamNotFound: the engine does not hold the stream to resume.
+	// ErrStreamNotFound means that the engine does not hold the stream to resume.
 	ErrStreamNotFound = errors.New("endpoint: stream not held")
-	// ErrStatus: the endpoint answered with another status than 200.
+	// ErrStatus means that the endpoint responded with an unexpected status.
 	ErrStatus = errors.New("endpoint: unexpected status")
 )
 
 const (
-	dialTimeout  = time.Second
-	idleTimeout  = 30 * time.Second
-	orderTimeout = 2 * time.Second
-	maxFrame     = 1 << 20
+	dialTimeout = time.Second
+	idleTimeout = 30 * time.Second
+	// controlTimeout bounds the calls that are answered at once: Cancel, Load,
+	// CacheEvents and Order.
+	controlTimeout = 2 * time.Second
+	maxFrameBytes  = 1 << 20
 )
 
 // Caller calls endpoints. It is safe for concurrent use.
 type Caller struct {
-	reused http.Client
-	fresh  http.Client
+	pooledClient    http.Client
+	singleUseClient http.Client
 }
 
 // Config sets how the caller connects.
 type Config struct {
 	// Source is the local address to connect from; nil for any.
 	Source net.Addr
-	// Transport, if not nil, takes the place of connections, as in
-	// experiments under a paused clock.
+	// Transport, if not nil, is used instead of network connections, as in tests
+	// with a fake clock.
 	Transport http.RoundTripper
 }
 
-// New returns a caller; it connects when used.
+// New returns a caller. It opens connections when calls are made.
 func New(c Config) *Caller {
 	d := net.Dialer{Timeout: dialTimeout, LocalAddr: c.Source}
 	transport := func(fresh bool) http.RoundTripper {
@@ -109,65 +107,67 @@
 			return c.Transport
 		}
 		return &http.Transport{
-			DialContext: watch(d.DialContext), DisableKeepAlives: fresh,
+			DialContext: trackWrites(d.DialContext), DisableKeepAlives: fresh,
 			MaxIdleConnsPerHost: 16, IdleConnTimeout: idleTimeout, DisableCompression: true,
 		}
 	}
 	noRedirect := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Caller{
-		reused: http.Client{Transport: transport(false), CheckRedirect: noRedirect},
-		fresh:  http.Client{Transport: transport(true), CheckRedirect: noRedirect},
+		pooledClient:    http.Client{Transport: transport(false), CheckRedirect: noRedirect},
+		singleUseClient: http.Client{Transport: transport(true), CheckRedirect: noRedirect},
 	}
 }
 
 // Attempt is one call to one endpoint. Its state may be read at any time.
 type Attempt struct {
-	// Traceparent is passed on to the endpoint, if not empty.
+	// Traceparent is the trace context header sent to the endpoint, if not empty.
 	Traceparent string
 
-	state atomic.Int32
-	rest  atomic.Int64
+	state   atomic.Int32
+	backoff atomic.Int64
 }
 
 // State returns how far the attempt got.
 func (a *Attempt) State() State { return State(a.state.Load()) }
 
-// Backoff is for how long the endpoint wants nothing, as it said; 0 if it did not.
-func (a *Attempt) Backoff() time.Duration { return time.Duration(a.rest.Load()) }
+// Backoff returns the pause that the endpoint asked for before further requests, or
+// 0 if it asked for none.
+func (a *Attempt) Backoff() time.Duration { return time.Duration(a.backoff.Load()) }
 
-// body hides the reader's type, so that http.NewRequest sets no GetBody.
-type body struct{ io.Reader }
+// opaqueReader hides the reader's type, so that net/http sets no GetBody.
+type opaqueReader struct{ io.Reader }
 
-// Do performs one HTTP call. Once says that it may not be repeated: then the
-// connection is fresh. Whoever calls must close the response's body.
-func (c *Caller) Do(r *http.Request, payload []byte, once bool, a *Attempt) (*http.Response, error) {
-	r = r.WithContext(c.traced(r.Context(), once, a))
-	r.Body = io.NopCloser(body{bytes.NewReader(payload)})
+// Do performs one HTTP call. With atMostOnce the call uses a new connection, so that
+// the transport can't repeat it. The caller must close the response's body.
+func (c *Caller) Do(r *http.Request, payload []byte, atMostOnce bool, a *Attempt) (*http.Response, error) {
+	r = r.WithContext(c.withStateTracking(r.Context(), atMostOnce, a))
+	r.Body = io.NopCloser(opaqueReader{bytes.NewReader(payload)})
 	r.GetBody = nil
 	if a.Traceparent != "" {
 		r.Header.Set("Traceparent", a.Traceparent)
 	}
 	r.ContentLength = int64(len(payload))
-	client := &c.reused
-	if once {
-		client = &c.fresh
+	client := &c.pooledClient
+	if atMostOnce {
+		client = &c.singleUseClient
 	}
 	resp, err := client.Do(r)
 	if err != nil {
 		return nil, fmt.Errorf("endpoint: %w", err)
 	}
 	a.state.Store(int32(Answered))
-	a.rest.Store(int64(retryparser.Parse(resp.StatusCode, resp.Header)))
+	a.backoff.Store(int64(retryparser.Parse(resp.StatusCode, resp.Header)))
 	return resp, nil
 }
 
 type attemptKey struct{}
 
-// traced makes the state follow the attempt. On a fresh connection the first
-// write decides: if the kernel took no byte, as when the other side had reset
-// the connection by then, nothing can have been read.
-func (c *Caller) traced(ctx context.Context, once bool, a *Attempt) context.Context {
-	if once {
+// withStateTracking returns a context in which the transport updates the state of the
+// attempt. On a new connection the first write decides: if the kernel accepted no
+// byte, for instance because the other side had already reset the connection, the
+// endpoint can't have read anything.
+func (c *Caller) withStateTracking(ctx context.Context, atMostOnce bool, a *Attempt) context.Context {
+	if atMostOnce {
 		return context.WithValue(ctx, attemptKey{}, a)
 	}
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) {
@@ -175,42 +175,45 @@
 	}})
 }
 
-// watched is a fresh connection that tells its attempt of the first byte.
-type watched struct {
+// trackedConn is a new connection that records the first sent byte in its attempt.
+type trackedConn struct {
 	net.Conn
-	a    *Attempt
-	sent bool
+	attempt *Attempt
+	sent    bool
 }
 
-// Write marks the attempt before it writes, and takes that back only if not
-// one byte left.
-func (w *watched) Write(p []byte) (int, error) {
-	w.a.state.CompareAndSwap(int32(Unsent), int32(MaybeSent))
+// Write marks the attempt as MaybeSent before it writes, and reverts that only if no
+// byte was sent.
+func (w *trackedConn) Write(p []byte) (int, error) {
+	w.attempt.state.CompareAndSwap(int32(Unsent), int32(MaybeSent))
 	n, err := w.Conn.Write(p)
 	if n == 0 && err != nil && !w.sent {
-		w.a.state.CompareAndSwap(int32(MaybeSent), int32(Unsent))
+		w.attempt.state.CompareAndSwap(int32(MaybeSent), int32(Unsent))
 	}
 	w.sent = w.sent || n > 0
 	return n, err
 }
 
-func watch(next func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
+// trackWrites wraps a dial function so that its connections record sent bytes in the
+// attempt that the context carries.
+func trackWrites(next func(context.Context, string, string) (net.Conn, error)) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := next(ctx, network, address)
 		a, ok := ctx.Value(attemptKey{}).(*Attempt)
 		if err != nil || !ok {
 			return conn, err
 		}
-		return &watched{Conn: conn, a: a}, nil
+		return &trackedConn{Conn: conn, attempt: a}, nil
 	}
 }
 
-// Complete starts a stream.
-func (c *Caller) Complete(ctx context.Context, address, id string, payload []byte, once bool, a *Attempt) (*Stream, error) {
-	return c.open(ctx, address, "/v1/chat/completions", id, payload, 0, once, a)
+// Complete starts the stream of a chat completion. payload is the body of the request,
+// id the id that the stream's frames carry. See [Caller.Do] for atMostOnce.
+func (c *Caller) Complete(ctx context.Context, address, id string, payload []byte, atMostOnce bool, a *Attempt) (*Stream, error) {
+	return c.open(ctx, address, "/v1/chat/completions", id, payload, 0, atMostOnce, a)
 }
 
-// Resume continues a stream.
+// Resume continues an interrupted stream. The call runs at most once.
 func (c *Caller) Resume(ctx context.Context, address string, r *resumption.Resumption, a *Attempt) (*Stream, error) {
 	payload, err := json.Marshal(r)
 	if err != nil {
@@ -219,7 +222,7 @@
 	return c.open(ctx, address, "/v1/streams/resume", r.ID, payload, r.Offset, true, a)
 }
 
-func (c *Caller) open(ctx context.Context, address, path, id string, payload []byte, offset int, once bool, a *Attempt) (*Stream, error) {
+func (c *Caller) open(ctx context.Context, address, path, id string, payload []byte, offset int, atMostOnce bool, a *Attempt) (*Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, http.NoBody)
 	if err != nil {
@@ -228,22 +231,22 @@
 	}
 	r.Header.Set("Request-Id", id)
 	r.Header.Set("Content-Type", "application/json")
-	resp, err := c.Do(r, payload, once, a)
+	resp, err := c.Do(r, payload, atMostOnce, a)
 	if err != nil {
 		cancel()
 		return nil, err
 	}
-	if err := opened(resp); err != nil {
+	if err := checkResponse(resp); err != nil {
 		_ = resp.Body.Close()
 		cancel()
 		return nil, err
 	}
 	s := &Stream{id: id, offset: offset, body: resp.Body, cancel: cancel, lines: bufio.NewScanner(resp.Body)}
-	s.lines.Buffer(nil, maxFrame)
+	s.lines.Buffer(nil, maxFrameBytes)
 	return s, nil
 }
 
-func opened(resp *http.Response) error {
+func checkResponse(resp *http.Response) error {
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return nil
@@ -255,19 +258,19 @@
 	return fmt.Errorf("%w %d", ErrStatus, resp.StatusCode)
 }
 
-// Cancel frees what an engine spends on a stream.
+// Cancel cancels a stream, so that the engine frees its resources.
 func (c *Caller) Cancel(ctx context.Context, address, id string) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	return c.simple(ctx, http.MethodDelete, "http://"+address+"/v1/streams/"+id, nil, nil)
+	return c.callJSON(ctx, http.MethodDelete, "http://"+address+"/v1/streams/"+id, nil, nil)
 }
 
-// Load asks an endpoint for its load.
+// Load requests the current load of an endpoint.
 func (c *Caller) Load(ctx context.Context, address string) (*report.Report, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var r report.Report
-	err := c.simple(ctx, http.MethodGet, "http://"+address+"/v1/load", nil, &r)
+	err := c.callJSON(ctx, http.MethodGet, "http://"+address+"/v1/load", nil, &r)
 	return &r, err
 }
 
@@ -278,42 +281,44 @@
 	Stored bool
 }
 
-// CacheEvents are the changes that an engine still remembers; some may be
+// CacheEvents holds the changes that an engine still remembers; earlier ones may be
 // missing.
 type CacheEvents struct {
+	// Next is the number of the latest change, from which the next call continues.
 	Next   uint64
 	Events []CacheEvent
 }
 
-// CacheEvents asks an engine for the changes of its cache after a number.
+// CacheEvents requests the changes of an engine's prefix cache after a number.
 func (c *Caller) CacheEvents(ctx context.Context, address string, after uint64) (*CacheEvents, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var e CacheEvents
-	err := c.simple(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/cache/events?after=%d", address, after), nil, &e)
+	err := c.callJSON(ctx, http.MethodGet, fmt.Sprintf("http://%s/v1/cache/events?after=%d", address, after), nil, &e)
 	return &e, err
 }
 
 // ImportRequest asks an engine to copy cache blocks from another.
 type ImportRequest struct {
-	// Source is IP:port of the engine that holds them.
+	// Source is IP:port of the engine that holds the blocks.
 	Source string
 	Blocks []prefix.Block
 }
 
-// Import makes an engine copy cache blocks.
+// Import makes an engine copy cache blocks from another engine. It returns when the
+// engine has answered, or when ctx ends.
 func (c *Caller) Import(ctx context.Context, address string, i *ImportRequest) error {
-	return c.simple(ctx, http.MethodPost, "http://"+address+"/v1/kv/import", i, nil)
+	return c.callJSON(ctx, http.MethodPost, "http://"+address+"/v1/kv/import", i, nil)
 }
 
-// Order gives an engine its wanted state.
+// Order sends an engine its desired state.
 func (c *Caller) Order(ctx context.Context, address string, o *order.Order) error {
-	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
+	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
-	return c.simple(ctx, http.MethodPost, "http://"+address+"/v1/orders", o, nil)
+	return c.callJSON(ctx, http.MethodPost, "http://"+address+"/v1/orders", o, nil)
 }
 
-func (c *Caller) simple(ctx context.Context, method, url string, in, out any) error {
+func (c *Caller) callJSON(ctx context.Context, method, url string, in, out any) error {
 	var payload []byte
 	if in != nil {
 		payload, _ = json.Marshal(in)
@@ -322,7 +327,7 @@
 	if err != nil {
 		return fmt.Errorf("endpoint: %w", err)
 	}
-	resp, err := c.reused.Do(r)
+	resp, err := c.pooledClient.Do(r)
 	if err != nil {
 		return fmt.Errorf("endpoint: %w", err)
 	}
@@ -333,7 +338,7 @@
 	if out == nil {
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxFrame)).Decode(out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxFrameBytes)).Decode(out); err != nil {
 		return fmt.Errorf("endpoint: %w", err)
 	}
 	return nil
@@ -341,18 +346,18 @@
 
 // Stream is an open stream of frames. It is for one goroutine.
 type Stream struct {
-	id     string
-	offset int
-	ended  bool
-	body   io.Closer
-	cancel context.CancelFunc
-	lines  *bufio.Scanner
+	id       string
+	offset   int
+	finished bool
+	body     io.Closer
+	cancel   context.CancelFunc
+	lines    *bufio.Scanner
 }
 
-// Next returns the next new frame. It returns io.EOF after the end mark,
-// ErrTruncated if the stream ends without it, and ErrCrossed for a frame of
-// another stream or with a token missing before it. Frames that repeat a
-// token already seen are dropped.
+// Next returns the next frame. It returns io.EOF after the end marker, ErrTruncated
+// if the stream ends without one, and ErrWrongStream for a frame of another stream
+// or if a token is missing before the frame. Frames that repeat a token already
+// returned are dropped.
 func (s *Stream) Next() (*frame.Frame, error) {
 	for s.lines.Scan() {
 		data, ok := strings.CutPrefix(s.lines.Text(), "data: ")
@@ -360,7 +365,7 @@
 			continue
 		}
 		if data == frame.EndMarker {
-			return nil, s.end()
+			return nil, s.handleEndMarker()
 		}
 		f := new(frame.Frame)
 		if err := json.Unmarshal([]byte(data), f); err != nil {
@@ -369,11 +374,11 @@
 		switch {
 		case f.ID != s.id || f.Offset > s.offset:
 			return nil, ErrWrongStream
-		case f.Offset < s.offset || s.ended:
+		case f.Offset < s.offset || s.finished:
 			continue
 		}
 		if f.Finished() {
-			s.ended = true
+			s.finished = true
 			return f, nil
 		}
 		s.offset++
@@ -385,16 +390,17 @@
 	return nil, ErrTruncated
 }
 
-// end accepts the end mark only behind a finishing frame: a mark alone may be
-// that of another stream on the same connection.
-func (s *Stream) end() error {
-	if !s.ended {
+// handleEndMarker accepts the end marker only after a finishing frame: without one, the
+// marker may belong to another stream on the same connection.
+func (s *Stream) handleEndMarker() error {
+	if !s.finished {
 		return ErrTruncated
 	}
 	return io.EOF
 }
 
-// Close ends the stream and its connection, unless it was read to its end.
+// Close ends the stream. It closes the connection unless the stream was read to its
+// end.
 func (s *Stream) Close() {
 	s.cancel()
 	_ = s.body.Close()
--- a/internal/engine/caller/caller_test.go
+++ b/internal/engine/caller/caller_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// endpoint accepts connections and treats each as told.
-func endpoint(t *testing.T, treat func(net.Conn)) string {
+// serveConnections listens, handles each connection with the given function, and returns
+// the address.
+func serveConnections(t *testing.T, handle func(net.Conn)) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -24,20 +25,20 @@
 			if err != nil {
 				return
 			}
-			go treat(c)
+			go handle(c)
 		}
 	}()
 	return l.Addr().String()
 }
 
-func reset(c net.Conn) {
+func resetConnection(c net.Conn) {
 	_ = c.(*net.TCPConn).SetLinger(0)
 	_ = c.Close()
 }
 
 func TestAttemptStates(t *testing.T) {
-	// What a caller is told depends on how far an attempt got. Where a byte
-	// may have been read the state must never be "unsent".
+	// The answer to a client depends on how far an attempt got. If the endpoint may have
+	// read a byte, the state must never be "unsent".
 	closed := func() string {
 		l, _ := net.Listen("tcp", "127.0.0.1:0")
 		defer l.Close()
@@ -50,22 +51,22 @@
 		want    State
 	}{
 		{"connection refused", closed, Unsent},
-		{"reset after reading", endpoint(t, func(c net.Conn) {
+		{"reset after reading", serveConnections(t, func(c net.Conn) {
 			_, _ = io.ReadFull(c, make([]byte, 1))
 			read <- true
-			reset(c)
+			resetConnection(c)
 		}), MaybeSent},
-		{"closed without an answer", endpoint(t, func(c net.Conn) {
+		{"closed without an answer", serveConnections(t, func(c net.Conn) {
 			_, _ = io.ReadFull(c, make([]byte, 1))
 			_ = c.Close()
 		}), MaybeSent},
-		{"answered", endpoint(t, func(c net.Conn) {
+		{"answered", serveConnections(t, func(c net.Conn) {
 			_, _ = io.ReadFull(c, make([]byte, 1))
 			_, _ = io.WriteString(c, "HTTP/1.1 204 No Content\r\n\r\n")
 		}), Answered},
 	}
 	for _, c := range cases {
-		for _, once := range []bool{true, false} {
+		for _, atMostOnce := range []bool{true, false} {
 			t.Run(c.name, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
@@ -73,15 +74,15 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				// The transport takes this header as leave to repeat.
+				// The transport treats this header as permission to repeat.
 				r.Header.Set("Idempotency-Key", "k")
 				var a Attempt
-				resp, err := New(Config{}).Do(r, []byte("body"), once, &a)
+				resp, err := New(Config{}).Do(r, []byte("body"), atMostOnce, &a)
 				if err == nil {
 					_ = resp.Body.Close()
 				}
 				if a.State() != c.want {
-					t.Errorf("once %t: %s, error %v", once, a.State(), err)
+					t.Errorf("atMostOnce %t: %s, error %v", atMostOnce, a.State(), err)
 				}
 			})
 		}
@@ -91,13 +92,13 @@
 	}
 }
 
-func TestOnceIsNeverRepeatedByTheTransport(t *testing.T) {
-	// An endpoint answers the first call and keeps the connection. It reads
-	// the second call and breaks off. The transport would send that again on
-	// a new connection by itself, and the booking would run twice.
+func TestAtMostOnceCallIsNotRepeatedByTransport(t *testing.T) {
+	// An endpoint answers the first call and keeps the connection. It reads the second
+	// call and resets the connection. The transport would by itself send the call again
+	// on a new connection, and it would run twice.
 	calls := make(chan bool, 10)
 	first := true
-	address := endpoint(t, func(c net.Conn) {
+	address := serveConnections(t, func(c net.Conn) {
 		in := bufio.NewReader(c)
 		for {
 			r, err := http.ReadRequest(in)
@@ -107,7 +108,7 @@
 			_, _ = io.Copy(io.Discard, r.Body)
 			calls <- true
 			if !first {
-				reset(c)
+				resetConnection(c)
 				return
 			}
 			first = false
--- a/internal/engine/frame/frame.go
+++ b/internal/engine/frame/frame.go
@@ -1,12 +1,10 @@
-// Package frame holds the chunk in which engines stream and callers receive.
+// Package frame declares the chunk format of streams from engines and to callers.
 //
-// # The shape
-//
-// It is the common chat completion chunk. Two members matter for safety: ID
-// names the stream that the chunk belongs to, and Offset counts the stream's
-// tokens from zero. Whoever relays a stream trusts these two and never the
-// connection on which the chunk came: a reused connection may still carry
-// chunks of a cancelled stream.
+// It is the usual chat completion chunk. Two fields protect against mixing up
+// streams: ID names the stream that the chunk belongs to, and Offset is the index
+// of its token in the stream, from 0. A relay relies on these two and never on the
+// connection on which a chunk arrived: a reused connection may still carry chunks
+// of a cancelled stream.
 //
 // # Usage
 //
@@ -17,7 +15,7 @@
 
 import "brasschute/internal/core/identifier"
 
-// EndMarker is the data of the event that marks a whole stream.
+// EndMarker is the data of the event that ends a complete stream.
 const EndMarker = "[DONE]"
 
 // Frame is one chunk of a stream.
@@ -31,7 +29,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Choice is one alternative; streams here carry exactly one.
+// Choice is one alternative completion. Streams carry exactly one.
 type Choice struct {
 	Index        int      `json:"index"`
 	Delta        *Message `json:"delta,omitempty"`
@@ -40,28 +38,29 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Message is a piece of text with the role that says it.
+// Message is a piece of text with the role of its author.
 type Message struct {
 	Role    string `json:"role,omitempty"`
 	Content string `json:"content"`
 }
 
-// Usage counts the tokens of a finished request.
+// Usage holds the token counts of a finished request.
 type Usage struct {
 	PromptTokens     identifier.Tokens `json:"prompt_tokens"`
 	CompletionTokens identifier.Tokens `json:"completion_tokens"`
-	// CachedTokens are those of the prompt that needed no computing.
+	// CachedTokens is the number of prompt tokens served from the prefix cache.
 	CachedTokens identifier.Tokens `json:"cached_tokens"`
-	// RecomputedTokens were computed again because a stream moved.
+	// RecomputedTokens is the number of tokens that were computed again because the
+	// stream moved to another engine.
 	RecomputedTokens identifier.Tokens `json:"recomputed_tokens"`
 }
 
-// Finished tells whether f ends its stream's text.
+// Finished reports whether f is the last frame of its stream's text.
 func (f *Frame) Finished() bool {
 	return len(f.Choices) > 0 && f.Choices[0].FinishReason != nil
 }
 
-// Content returns the text that f adds.
+// Content returns the text that f adds to the stream.
 func (f *Frame) Content() string {
 	if len(f.Choices) == 0 || f.Choices[0].Delta == nil {
 		return ""
--- a/internal/engine/order/order.go
+++ b/internal/engine/order/order.go
@@ -1,21 +1,19 @@
-// Package order holds the orders that a controller gives to engines.
+// Package order declares the orders that a controller sends to engines.
 //
-// # Orders state an end, not a step
-//
-// An [Order] says what the engine is to be, not what it is to do next. The
-// same order twice, or two orders swapped by the network, therefore leave the
-// engine as the highest fencing number wants it.
+// An [Order] states the desired state of an engine, not a step towards it. An
+// order that is repeated, or two orders that arrive in reverse, therefore leave
+// the engine in the state of the order with the highest fencing number.
 //
 // # Usage
 //
 //	o := order.Order{FencingNumber: lease.Number, Model: "renewals-7b"}
 package order
 
-// Order is the wanted state of one engine.
+// Order is the desired state of one engine.
 type Order struct {
-	// FencingNumber is that of the lease under which the order is given. An
-	// engine that honours fencing refuses a number below the highest seen.
+	// FencingNumber is the fencing number of the sender's lease. An engine that
+	// honours fencing refuses a number lower than the highest it has seen.
 	FencingNumber uint64
-	// Model is the model, with its version, to have loaded.
+	// Model is the model to load, with its version.
 	Model string
 }
--- a/internal/engine/prefix/prefix.go
+++ b/internal/engine/prefix/prefix.go
@@ -1,18 +1,17 @@
-// Package prefix names the blocks of a prompt, as engines cache them.
-//
-// # Blocks
+// Package prefix computes the identifiers of a prompt's blocks in an engine's
+// prefix cache.
 //
 // An engine caches the computed state of a prompt in blocks of [BlockTokens]
-// tokens. The state of a block depends on all text before it, so a block's
-// name is a hash chained over the blocks in front: two prompts share a block
-// only if they are equal from the start up to its end.
+// tokens. The state of a block depends on all text before it, so its identifier
+// is a hash chained over the preceding blocks: two prompts share a block only if
+// they are equal from the start to the end of the block.
+//
+// A token is estimated as [BytesPerToken] bytes. The estimate is for routing and
+// limits, never for billing.
 //
 // # Usage
 //
 //	blocks := prefix.Blocks(dst[:0], prompt)
-//
-// Tokens are estimated as [BytesPerToken] bytes; the estimate serves routing
-// and limits, never billing.
 package prefix
 
 import (
@@ -32,15 +31,16 @@
 	blockBytes = BytesPerToken * BlockTokens
 )
 
-// Block names one cache block.
+// Block identifies one cache block.
 type Block uint64
 
-// Tokens estimates the tokens in n bytes of text.
+// Tokens estimates the number of tokens in n bytes of text.
 func Tokens(n int) identifier.Tokens {
 	return identifier.Tokens((n + BytesPerToken - 1) / BytesPerToken)
 }
 
-// Blocks appends the names of the whole blocks of a prompt to dst.
+// Blocks appends the identifiers of a prompt's blocks to dst. A last block that is
+// not full is left out.
 func Blocks(dst []Block, prompt string) []Block {
 	var chained [8]byte
 	var d xxhash.Digest
--- a/internal/engine/prober/prober.go
+++ b/internal/engine/prober/prober.go
@@ -1,11 +1,10 @@
-// Package prober finds out whether the process of an endpoint has ended.
+// Package prober detects whether the process of an endpoint has ended.
 //
-// # Why
-//
-// A connection that breaks off may have been reset on its way, by an endpoint that closed
-// just this one, or by the end of the endpoint's process. Only the last one says something
-// about what the process was running. A host whose process has ended refuses connections
-// at once; one that is cut off or has no power does not answer, which tells nothing.
+// A lost connection may have been reset in the network, closed by an endpoint that
+// continues to run, or ended with the endpoint's process. Only the last case says
+// something about the requests that the process was running. A host whose process has
+// ended refuses connections at once; one that is partitioned or has no power does not
+// respond, which proves nothing.
 //
 // # Usage
 //
@@ -23,37 +22,38 @@
 )
 
 const (
-	// timeout is far above a round trip between availability zones (a few milliseconds).
-	timeout = 100 * time.Millisecond
-	// fresh is how long a finding holds: all requests that an endpoint broke off with its
-	// end ask within milliseconds.
-	fresh = 250 * time.Millisecond
-	// maxFindings bounds what is kept, and so the probes under way.
-	maxFindings = 64
+	// dialTimeout is far above the round-trip time between availability zones, a few
+	// milliseconds.
+	dialTimeout = 100 * time.Millisecond
+	// resultTTL is how long a result is reused: all requests that ended with an endpoint
+	// call Probe within milliseconds.
+	resultTTL = 250 * time.Millisecond
+	// maxProbes bounds the results kept, and so the concurrent probes.
+	maxProbes = 64
 )
 
-// Result is what a probe found.
+// Result is the result of a probe.
 type Result int
 
-// The findings.
+// The results.
 const (
-	// Unknown: no answer came in time, or no probe was made.
+	// Unknown means that there was no response in time, or that no probe was made.
 	Unknown Result = iota
-	// Listening: a process takes connections there.
+	// Listening means that a process accepts connections at the address.
 	Listening
-	// Refused: the host answers that no process does.
+	// Refused means that the host refused the connection: no process listens.
 	Refused
 )
 
-// String is for logs.
-func (f Result) String() string { return [...]string{"unknown", "listening", "refused"}[f] }
+// String returns the name of the result for logs.
+func (r Result) String() string { return [...]string{"unknown", "listening", "refused"}[r] }
 
 // Dialer opens connections.
 type Dialer interface {
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Config names the prober's collaborators.
+// Config holds the prober's dependencies.
 type Config struct {
 	Dialer Dialer
 }
@@ -66,60 +66,61 @@
 	probes map[string]*probe
 }
 
+// probe is one connection attempt, which concurrent callers share.
 type probe struct {
-	begun time.Time
-	// done is closed once finding is set.
-	done    chan struct{}
-	finding Result
+	started time.Time
+	// done is closed once result is set.
+	done   chan struct{}
+	result Result
 }
 
 // New returns a prober.
 func New(c Config) *Prober { return &Prober{c: c, probes: make(map[string]*probe)} }
 
-// Probe tells whether a process listens at an address. Those that ask at the same time
-// share one connection.
+// Probe reports whether a process listens at an address, IP:port. Concurrent calls for
+// one address share a connection, and the result is reused for a short time.
 func (p *Prober) Probe(ctx context.Context, address string) Result {
-	one, first := p.share(address)
-	if one == nil {
+	pr, first := p.joinProbe(address)
+	if pr == nil {
 		return Unknown
 	}
 	if first {
-		// Others wait for it, so it does not end with the first one's request.
-		one.finding = p.dial(context.WithoutCancel(ctx), address)
-		close(one.done)
+		// Other callers wait for the probe, so it must outlive the first caller's request.
+		pr.result = p.dial(context.WithoutCancel(ctx), address)
+		close(pr.done)
 	}
 	select {
-	case <-one.done:
-		return one.finding
+	case <-pr.done:
+		return pr.result
 	case <-ctx.Done():
 		return Unknown
 	}
 }
 
-// share returns the probe of an address, and whether the caller is to make it; nil if too
-// many are kept.
-func (p *Prober) share(address string) (one *probe, first bool) {
+// joinProbe returns the probe of an address, and whether the caller has to perform it. It
+// returns nil if too many probes are kept.
+func (p *Prober) joinProbe(address string) (pr *probe, first bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
 	for a, old := range p.probes {
-		if now.Sub(old.begun) > fresh+timeout {
+		if now.Sub(old.started) > resultTTL+dialTimeout {
 			delete(p.probes, a)
 		}
 	}
-	if one = p.probes[address]; one != nil && now.Sub(one.begun) <= fresh {
-		return one, false
+	if pr = p.probes[address]; pr != nil && now.Sub(pr.started) <= resultTTL {
+		return pr, false
 	}
-	if len(p.probes) >= maxFindings {
+	if len(p.probes) >= maxProbes {
 		return nil, false
 	}
-	one = &probe{begun: now, done: make(chan struct{})}
-	p.probes[address] = one
-	return one, true
+	pr = &probe{started: now, done: make(chan struct{})}
+	p.probes[address] = pr
+	return pr, true
 }
 
 func (p *Prober) dial(ctx context.Context, address string) Result {
-	ctx, cancel := context.WithTimeout(ctx, timeout)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, err := p.c.Dialer.DialContext(ctx, "tcp", address)
 	switch {
--- a/internal/engine/prober/prober_test.go
+++ b/internal/engine/prober/prober_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// dialer answers each dial after a time.
+// dialer completes each dial after a delay.
 type dialer struct {
 	after time.Duration
 	err   error
 	dials atomic.Int32
 }
 
-// DialContext waits and answers.
+// DialContext waits, then succeeds or returns the dialer's error.
 func (d *dialer) DialContext(ctx context.Context, _, _ string) (net.Conn, error) {
 	d.dials.Add(1)
 	select {
@@ -35,7 +35,7 @@
 	return near, nil
 }
 
-func TestFindings(t *testing.T) {
+func TestProbeResults(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		d    *dialer
@@ -58,8 +58,8 @@
 	}
 }
 
-// Forty requests end with one endpoint: one connection tells all of them, and a later
-// request of the same address asks anew, as another process may have it by then.
+// Forty requests end with one endpoint: they must share one connection. A later probe of
+// the same address must connect again, because another process may listen there by then.
 func TestProbesAreShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := &dialer{after: time.Millisecond, err: syscall.ECONNREFUSED}
@@ -76,7 +76,7 @@
 		if n := d.dials.Load(); n != 1 {
 			t.Errorf("%d dials", n)
 		}
-		time.Sleep(2 * fresh)
+		time.Sleep(2 * resultTTL)
 		d.err = nil
 		if got := p.Probe(t.Context(), "10.0.0.1:80"); got != Listening {
 			t.Errorf("later: %v", got)
@@ -84,8 +84,9 @@
 	})
 }
 
-// The client of the first request leaves while the others wait for its probe.
-func TestProbeOutlivesItsFirstRequest(t *testing.T) {
+// The client of the first request disconnects while other requests wait for its probe,
+// which must not be canceled.
+func TestProbeOutlivesFirstCaller(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := New(Config{Dialer: &dialer{after: 2 * time.Millisecond, err: syscall.ECONNREFUSED}})
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/engine/report/report.go
+++ b/internal/engine/report/report.go
@@ -1,9 +1,9 @@
-// Package report holds the load that an endpoint tells of itself.
+// Package report declares the load report of an endpoint.
 //
-// # Usage
+// A [Report] is always out of date: Taken is the time of its numbers by the
+// endpoint's clock, and the reader must add the requests that it has sent since.
 //
-// A reader must treat a [Report] as old news: Taken says when the numbers were
-// true, by the endpoint's clock, and the reader adds what it sent since.
+// # Usage
 //
 //	if r.Leaving { registry.MarkLeaving(...) }
 package report
@@ -20,13 +20,14 @@
 	Taken    time.Time
 	Running  int
 	Queued   int
-	// QueuedTokens are prompt tokens waiting to be read.
+	// QueuedTokens is the number of prompt tokens that wait for prefill.
 	QueuedTokens identifier.Tokens
-	Model        string
-	// FencingNumber is the highest that came with an order.
+	// Model is the loaded model.
+	Model string
+	// FencingNumber is the highest one received with an order.
 	FencingNumber uint64
-	// Leaving: the host has a reclaim notice or is draining.
+	// Leaving is set if the host has a reclaim notice or is draining.
 	Leaving bool
-	// Incarnation is that of the host.
+	// Incarnation is the host's incarnation.
 	Incarnation identifier.Incarnation
 }
--- a/internal/engine/resumption/resumption.go
+++ b/internal/engine/resumption/resumption.go
@@ -1,11 +1,9 @@
-// Package resumption holds the request to go on with an interrupted stream.
+// Package resumption declares the request to resume an interrupted stream.
 //
-// # Two ways to go on
-//
-// The engine that still holds the stream continues at Offset and computes
-// nothing again. Another engine needs Delivered, the tokens that the caller
-// already has: it computes prompt and tokens anew, save what it can import
-// from KVSource, and goes on behind them.
+// The engine that still holds the stream continues at Offset and recomputes
+// nothing. Another engine needs Delivered, the tokens that the caller already
+// has: it recomputes the prompt and these tokens, except for the cache blocks
+// that it can import from KVSource, and continues after them.
 //
 // # Usage
 //
@@ -16,20 +14,21 @@
 
 // Resumption asks an engine to continue a stream.
 type Resumption struct {
-	// ID is the id that frames of the continued stream shall bear.
+	// ID is the id that the frames of the continued stream carry.
 	ID string
-	// Stream is the id under which the interrupted stream ran.
+	// Stream is the id of the interrupted stream.
 	Stream string
-	// Offset is the number of tokens the caller has.
+	// Offset is the number of tokens that the caller has received.
 	Offset int
-	// Delivered holds those tokens, if they are known.
+	// Delivered holds these tokens, if they are known.
 	Delivered []string
-	// HeldOnly: continue only if the engine holds Stream. Without it an engine
-	// that has never seen the stream would start it anew, a second run.
+	// HeldOnly makes the engine continue only if it holds Stream. Otherwise an
+	// engine that has never seen the stream would start it again, and the request
+	// would run twice.
 	HeldOnly bool
 	// Original is the body of the first request.
 	Original json.RawMessage
-	// KVSource is the IP:port of the engine to import KV cache from; empty
-	// for none.
+	// KVSource is IP:port of the engine to import cache blocks from; empty for
+	// none.
 	KVSource string
 }
--- a/internal/engine/sender/sender.go
+++ b/internal/engine/sender/sender.go
@@ -1,21 +1,17 @@
-// Package sender sends requests to endpoints over kept connections and says how
-// far each attempt got.
+// Package sender sends requests to endpoints over persistent connections and
+// reports how far each attempt got.
 //
-// # Why not the standard transport
+// It replaces http.Transport, which repeats a request by itself if a reused
+// connection turns out to be closed, hides whether bytes were sent, and abandons
+// an exchange if the next response on the connection belongs to an earlier
+// request. The sender writes a request once: [ErrUnsent] and [ErrCanceled] mean
+// that the kernel accepted no byte of it, any other error means that the endpoint
+// may have received it. Messages are still encoded and parsed by net/http.
 //
-// The standard transport repeats a request by itself when a kept connection
-// turns out to be closed, hides whether bytes have left, and gives up an
-// exchange whose next answer belongs to an earlier request. Here a request is
-// written once; [ErrUnsent] means that no byte of it was taken by the kernel,
-// every other error that the endpoint may have it. Messages are still written
-// and read by net/http.
-//
-// # Kept connections
-//
-// An endpoint may close an idle connection at any time, and what is sent then
-// is lost without an answer. So a connection is used again only within half of
-// the time that the endpoint grants, and only if nothing has arrived on it
-// since: neither its end nor bytes that belong to no request.
+// An endpoint may close an idle connection at any time, and a request sent on it
+// is then lost without a response. A connection is therefore reused only within
+// half of the keep-alive time that the endpoint grants, and only if nothing has
+// arrived on it since: neither a close nor bytes that belong to no request.
 //
 // # Usage
 //
@@ -39,35 +35,36 @@
 	"time"
 )
 
-// Errors of an attempt.
+// Errors of an attempt. Their texts may be part of an answer to a client.
 var (
-	// ErrUnsent: no byte of the request left this host.
+	// ErrUnsent means that no byte of the request was sent.
 	ErrUnsent = errors.New("request not sent")
-	// ErrCanceled: the request was not to be sent any more once the connection
-	// stood; nothing left this host.
+	// ErrCanceled means that Message.Ready returned false once the connection was
+	// established. Nothing was sent.
 	ErrCanceled = errors.New("request withdrawn before it was sent")
-	// ErrNoResponse: the request may have been received, and no answer came.
+	// ErrNoResponse means that the request may have been received, but no response
+	// arrived.
 	ErrNoResponse = errors.New("no answer")
-	// ErrBadResponse: the answer was not understood, or ended early.
+	// ErrBadResponse means that the response was malformed or truncated.
 	ErrBadResponse = errors.New("answer broken")
 )
 
 const (
-	// dialTimeout is far above the round trip between zones (a few
-	// milliseconds) and leaves time for another endpoint within an objective of a
-	// second.
+	// dialTimeout is far above the round-trip time between zones, a few
+	// milliseconds, and leaves time for another endpoint within an objective of
+	// one second.
 	dialTimeout = 300 * time.Millisecond
-	// maxIdle is how many idle connections are kept to one endpoint; more than
-	// a batch's share of one host would only hold descriptors.
-	maxIdle = 16
-	// defaultKeep is assumed when an endpoint does not say how long it keeps
-	// idle connections.
-	defaultKeep = 2 * time.Second
-	// readBuffer fits the head of an answer and several events.
-	readBuffer = 4 << 10
-	// maxStray is the number of answers to other requests that are skipped
-	// before the connection is given up.
-	maxStray = 2
+	// maxIdlePerEndpoint bounds the idle connections to one endpoint. Connections
+	// beyond one host's share of an engine's batch would only hold descriptors.
+	maxIdlePerEndpoint = 16
+	// defaultKeepAlive is assumed for an endpoint that does not state how long it
+	// keeps idle connections.
+	defaultKeepAlive = 2 * time.Second
+	// readBufferBytes holds the header of a response and several events.
+	readBufferBytes = 4 << 10
+	// maxMismatched is the number of responses to other requests that are skipped
+	// before the connection is closed.
+	maxMismatched = 2
 )
 
 // Dialer opens connections.
@@ -75,45 +72,51 @@
 	DialContext(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// Config names the sender's collaborators.
+// Config holds the sender's dependencies.
 type Config struct {
 	Dialer Dialer
-	// OnConnect is told of each new connection; may be nil.
+	// OnConnect is called for each new connection; may be nil.
 	OnConnect func()
 }
 
-// Message is one request as it goes out.
+// Message is one request to an endpoint.
 type Message struct {
+	// Address is IP:port of the endpoint.
 	Address string
 	Method  string
-	Target  string
-	Host    string
-	Header  http.Header
-	Body    []byte
-	// Ready is asked right before the first byte goes out, after the time that
-	// a connection takes; nil for always.
+	// Target is the request target, sent unchanged, and Host the Host header.
+	Target string
+	Host   string
+	Header http.Header
+	Body   []byte
+	// Ready is called once the connection is established, right before the first
+	// byte is sent. If it returns false, the request is canceled. May be nil.
 	Ready func() bool
-	// Matches tells whether an answer's headers belong to this request; an answer
-	// to another one is skipped. Nil for any.
+	// Matches reports whether a response with these headers belongs to this
+	// request. A response to another request is skipped. If nil, any response
+	// matches.
 	Matches func(http.Header) bool
-	// KeepAlive reads from an answer how long the connection may stay idle.
+	// KeepAlive returns how long the connection may stay idle according to a
+	// response's headers, or 0 if they don't say. May be nil.
 	KeepAlive func(http.Header) time.Duration
 }
 
-type link struct {
+// connection is a persistent connection to an endpoint, which keeps it open for
+// keepAlive while it is idle.
+type connection struct {
 	net.Conn
-	address string
-	reader  *bufio.Reader
-	idle    time.Time
-	keep    time.Duration
+	address   string
+	reader    *bufio.Reader
+	idleSince time.Time
+	keepAlive time.Duration
 }
 
-// Sender keeps connections to endpoints. It is safe for concurrent use.
+// Sender sends requests and pools idle connections. It is safe for concurrent use.
 type Sender struct {
 	c Config
 
 	mu   sync.Mutex
-	idle map[string][]*link
+	idle map[string][]*connection
 }
 
 // New returns a sender without connections.
@@ -121,26 +124,28 @@
 	if c.OnConnect == nil {
 		c.OnConnect = func() {}
 	}
-	return &Sender{c: c, idle: make(map[string][]*link)}
+	return &Sender{c: c, idle: make(map[string][]*connection)}
 }
 
-// Exchange is an answer whose body is still to be read.
+// Exchange is a response whose body has not been read yet. The caller must call
+// Close.
 type Exchange struct {
 	Status int
 	Header http.Header
-	// Body ends with io.EOF only if the endpoint marked its end, or closed a
-	// connection that carries an answer of no stated length.
+	// Body returns io.EOF only after the whole body: if the endpoint marked its
+	// end, or closed the connection of a response without a stated length.
 	Body io.ReadCloser
 
-	s     *Sender
-	l     *link
-	stop  func() bool
-	whole bool
-	keep  bool
+	sender     *Sender
+	conn       *connection
+	stopCancel func() bool
+	bodyRead   bool
+	reusable   bool
 }
 
-// Send writes one request and reads the head of its answer. When ctx ends the
-// connection is closed, which makes the endpoint drop the request.
+// Send writes one request and reads the status and headers of its response. When
+// ctx ends, the connection is closed, which makes the endpoint abort the request.
+// The error wraps one of those declared in this package.
 func (s *Sender) Send(ctx context.Context, m *Message) (*Exchange, error) {
 	l, err := s.connect(ctx, m.Address)
 	if err != nil {
@@ -157,8 +162,8 @@
 		_ = l.Close()
 		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
 	}
-	w := &counter{w: l}
-	buffered := bufio.NewWriterSize(w, len(m.Body)+readBuffer)
+	w := &countingWriter{w: l}
+	buffered := bufio.NewWriterSize(w, len(m.Body)+readBufferBytes)
 	err = r.Write(buffered)
 	if err == nil {
 		err = buffered.Flush()
@@ -171,18 +176,18 @@
 		}
 		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
-	x, err := s.answer(l, r, m)
+	x, err := s.readResponse(l, r, m)
 	if err != nil {
 		stop()
 		_ = l.Close()
 		return nil, err
 	}
-	x.stop = stop
+	x.stopCancel = stop
 	return x, nil
 }
 
-func (s *Sender) answer(l *link, r *http.Request, m *Message) (*Exchange, error) {
-	for range maxStray + 1 {
+func (s *Sender) readResponse(l *connection, r *http.Request, m *Message) (*Exchange, error) {
+	for range maxMismatched + 1 {
 		if _, err := l.reader.Peek(1); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 		}
@@ -191,17 +196,17 @@
 			return nil, fmt.Errorf("%w: %w", ErrBadResponse, err)
 		}
 		if m.Matches == nil || m.Matches(resp.Header) {
-			x := &Exchange{Status: resp.StatusCode, Header: resp.Header, s: s, l: l, keep: !resp.Close}
+			x := &Exchange{Status: resp.StatusCode, Header: resp.Header, sender: s, conn: l, reusable: !resp.Close}
 			x.Body = &body{ReadCloser: resp.Body, x: x}
-			l.keep = defaultKeep
+			l.keepAlive = defaultKeepAlive
 			if m.KeepAlive != nil {
 				if keep := m.KeepAlive(resp.Header); keep > 0 {
-					l.keep = keep
+					l.keepAlive = keep
 				}
 			}
 			return x, nil
 		}
-		// A second answer to an earlier request stands where this one's is due.
+		// A second response to an earlier request arrived in place of this one's.
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.Close {
 			break
 		}
@@ -228,13 +233,13 @@
 	return r, nil
 }
 
-func (s *Sender) connect(ctx context.Context, address string) (*link, error) {
+func (s *Sender) connect(ctx context.Context, address string) (*connection, error) {
 	for {
-		l := s.take(address)
+		l := s.takeIdle(address)
 		if l == nil {
 			break
 		}
-		if l.usable() {
+		if l.isReusable() {
 			return l, nil
 		}
 		_ = l.Close()
@@ -246,10 +251,10 @@
 		return nil, err
 	}
 	s.c.OnConnect()
-	return &link{Conn: conn, address: address, reader: bufio.NewReaderSize(conn, readBuffer)}, nil
+	return &connection{Conn: conn, address: address, reader: bufio.NewReaderSize(conn, readBufferBytes)}, nil
 }
 
-func (s *Sender) take(address string) *link {
+func (s *Sender) takeIdle(address string) *connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	list := s.idle[address]
@@ -261,10 +266,11 @@
 	return l
 }
 
-// usable tells whether a kept connection may carry a request: not idle for
-// long, not closed by the other side, and no bytes waiting on it.
-func (l *link) usable() bool {
-	if time.Since(l.idle) > l.keep/2 || l.reader.Buffered() > 0 {
+// isReusable reports whether an idle connection may carry another request: it has
+// not been idle for too long, the other side has not closed it, and no bytes are
+// waiting on it.
+func (l *connection) isReusable() bool {
+	if time.Since(l.idleSince) > l.keepAlive/2 || l.reader.Buffered() > 0 {
 		return false
 	}
 	conn, ok := l.Conn.(syscall.Conn)
@@ -285,26 +291,26 @@
 	return err == nil && quiet
 }
 
-func (s *Sender) put(l *link) {
+func (s *Sender) putIdle(l *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.idle = time.Now()
-	if len(s.idle[l.address]) >= maxIdle {
+	l.idleSince = time.Now()
+	if len(s.idle[l.address]) >= maxIdlePerEndpoint {
 		_ = l.Close()
 		return
 	}
 	s.idle[l.address] = append(s.idle[l.address], l)
 }
 
-// Prune closes connections that have been idle too long to be used again, and
-// those to endpoints that are gone.
+// Prune closes connections that have been idle for too long to be reused, and those
+// to addresses that are no longer listed.
 func (s *Sender) Prune(listed func(address string) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for address, list := range s.idle {
 		kept := list[:0]
 		for _, l := range list {
-			if listed(address) && time.Since(l.idle) <= l.keep/2 {
+			if listed(address) && time.Since(l.idleSince) <= l.keepAlive/2 {
 				kept = append(kept, l)
 				continue
 			}
@@ -318,43 +324,45 @@
 	}
 }
 
-// Close ends the exchange. A connection whose answer was read to its end is
-// kept; any other is closed, so that what is left of the answer can't be taken
-// for the next one's.
+// Close ends the exchange. A connection whose response was read to its end is kept
+// for reuse. Any other is closed, so that the rest of its response can't be taken
+// for part of the next one.
 func (x *Exchange) Close() {
-	if x.l == nil {
+	if x.conn == nil {
 		return
 	}
-	l := x.l
-	x.l = nil
-	stopped := x.stop()
-	if x.whole && x.keep && stopped {
-		x.s.put(l)
+	l := x.conn
+	x.conn = nil
+	stopped := x.stopCancel()
+	if x.bodyRead && x.reusable && stopped {
+		x.sender.putIdle(l)
 		return
 	}
 	_ = l.Close()
 }
 
+// body is the body of an exchange.
 type body struct {
 	io.ReadCloser
 	x *Exchange
 }
 
-// Read notes the end of the body.
+// Read reads the body and records whether it was read to its end.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.x.whole = true
+		b.x.bodyRead = true
 	}
 	return n, err
 }
 
-type counter struct {
+// countingWriter counts the bytes that the connection accepted.
+type countingWriter struct {
 	w io.Writer
 	n int
 }
 
-func (c *counter) Write(p []byte) (int, error) {
+func (c *countingWriter) Write(p []byte) (int, error) {
 	n, err := c.w.Write(p)
 	c.n += n
 	return n, err
--- a/internal/engine/sender/sender_test.go
+++ b/internal/engine/sender/sender_test.go
@@ -31,8 +31,8 @@
 func message(address, id string) *Message {
 	return &Message{
 		Address: address, Method: http.MethodPost, Target: "/x/a%2Fb?c=%20", Host: "desk.example", Body: []byte("body"),
-		Header: http.Header{"Request-Id": {id}},
-		Matches:    func(h http.Header) bool { return h.Get("Request-Id") == id },
+		Header:  http.Header{"Request-Id": {id}},
+		Matches: func(h http.Header) bool { return h.Get("Request-Id") == id },
 	}
 }
 
@@ -47,7 +47,7 @@
 	return string(body), err
 }
 
-func TestSendPassesTheMessageOn(t *testing.T) {
+func TestSend(t *testing.T) {
 	e := hosting.NewEngine(hosting.Config{ID: "i-1"})
 	s, opened := newSender(t)
 	address := serve(t, e)
@@ -65,10 +65,10 @@
 	}
 }
 
-// An engine closes a kept connection that the sender believes to be good. What is
-// sent on it would be lost without an answer, and a posting could not be sent
-// again. The sender looks at the connection first, and opens another one.
-func TestClosedConnectionsAreNotUsed(t *testing.T) {
+// An engine closes an idle connection. A request sent on it would be lost without a
+// response, and a request that is not idempotent could not be sent again. The sender must
+// notice the close before it sends, and open another connection.
+func TestClosedConnectionsAreNotReused(t *testing.T) {
 	e := hosting.NewEngine(hosting.Config{ID: "i-1"})
 	server := httptest.NewServer(e)
 	defer server.Close()
@@ -88,16 +88,16 @@
 	}
 }
 
-func TestErrorsTellHowFarARequestGot(t *testing.T) {
+func TestSendErrors(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := closed.Addr().String()
+	unused := closed.Addr().String()
 	_ = closed.Close()
 	s, _ := newSender(t)
-	if _, err := exchange(t, s, message(nobody, "r")); !errors.Is(err, ErrUnsent) {
-		t.Errorf("nobody listens: %v", err)
+	if _, err := exchange(t, s, message(unused, "r")); !errors.Is(err, ErrUnsent) {
+		t.Errorf("connection refused: %v", err)
 	}
 	dropping := hosting.NewEngine(hosting.Config{ID: "i-1"})
 	dropping.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.CloseUnanswered })
@@ -125,19 +125,19 @@
 	}
 }
 
-// slowDialer opens a connection only when the test lets it.
-type slowDialer struct{ let chan struct{} }
+// blockingDialer opens connections only after proceed is closed.
+type blockingDialer struct{ proceed chan struct{} }
 
-func (d *slowDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	<-d.let
+func (d *blockingDialer) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+	<-d.proceed
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
-// An engine begins to leave while the connection to it is being opened. It was
-// right to choose it, and would be wrong to send it work now.
+// An engine is chosen and begins to leave while the connection to it is being
+// established. The request must not be sent to it any more.
 func TestLeavingWhileConnecting(t *testing.T) {
 	e := hosting.NewEngine(hosting.Config{ID: "i-1"})
-	d := &slowDialer{let: make(chan struct{})}
+	d := &blockingDialer{proceed: make(chan struct{})}
 	s := New(Config{Dialer: d})
 	var leaving atomic.Bool
 	m := message(serve(t, e), "r-1")
@@ -148,7 +148,7 @@
 		done <- err
 	}()
 	leaving.Store(true)
-	close(d.let)
+	close(d.proceed)
 	if err := <-done; !errors.Is(err, ErrCanceled) {
 		t.Errorf("error %v", err)
 	}
