--- a/internal/platform/client/client.go
+++ b/internal/platform/client/client.go
@@ -1,19 +1,16 @@
-// Package client speaks the platform's object API.
+// Package client is a client of the platform's object API. No other package knows
+// the protocol.
 //
-// # What it promises
-//
-// Each call ends within its context and returns an error that says whether the
-// call can have taken effect; see package object. The client never repeats a
-// write by itself: a repeat may be needed only after a read, and only the
-// caller knows what to compare.
+// Each call ends with its context at the latest. Its error shows whether the call
+// can have taken effect; see package object. The client never repeats a write by
+// itself: whether to repeat it depends on a read, and only the caller knows what
+// to compare.
 //
 // # Usage
 //
 //	c := client.New(client.Config{Address: "127.0.0.1:9000"})
 //	o, err := c.Get(ctx, "config/current")
 //	o, err = c.Put(ctx, o.Key, o.Version, value)
-//
-// This package is the only one that knows the platform's protocol.
 package client
 
 import (
@@ -35,41 +32,42 @@
 
 const (
 	dialTimeout = time.Second
-	// readTimeout ends a read whose bytes come too slowly to be of use.
+	// readTimeout ends a read whose response arrives too slowly to be useful.
 	readTimeout = 20 * time.Second
-	// maxAnswer bounds what is read of one answer: a full list at the size of
-	// docs/CAPACITY.md is under a megabyte.
-	maxAnswer = 16 << 20
+	// maxResponseBytes bounds the size of a response. A full list at the fleet size
+	// of docs/CAPACITY.md is less than a megabyte.
+	maxResponseBytes = 16 << 20
 )
 
-// Config says where the platform is.
+// Config holds the platform's address and the timeout of calls.
 type Config struct {
-	// Address is IP:port.
+	// Address is IP:port of the platform.
 	Address string
-	// Timeout bounds each write, and for each read the time until something comes: how
-	// long a list takes depends on its size and on the link. 2 s if zero.
+	// Timeout bounds each write as a whole. For a read it only bounds the time without
+	// received bytes, as the duration of a list depends on its size and on the link.
+	// 2 s if zero.
 	Timeout time.Duration
 	// Source is the local address to connect from; nil for any.
 	Source net.Addr
 }
 
-// Client calls one platform. It is safe for concurrent use.
+// Client calls the platform's object API. It is safe for concurrent use.
 type Client struct {
-	base    string
+	baseURL string
 	timeout time.Duration
 	http    *watchdog.Watchdog
 	calls   atomic.Int64
-	// now is the platform's clock as last told, in Unix seconds.
-	now atomic.Int64
+	// platformTime is the Date of the platform's last response, in Unix seconds.
+	platformTime atomic.Int64
 }
 
-// New returns a client; it connects when first used.
+// New returns a client. It connects when first used.
 func New(c Config) *Client {
 	if c.Timeout == 0 {
 		c.Timeout = 2 * time.Second
 	}
 	return &Client{
-		base:    "http://" + c.Address + "/v1/",
+		baseURL: "http://" + c.Address + "/v1/",
 		timeout: c.Timeout,
 		http:    watchdog.New(watchdog.Config{Transport: &http.Transport{DialContext: dialer(c.Source)}, IdleTimeout: c.Timeout}),
 	}
@@ -80,13 +78,13 @@
 	return d.DialContext
 }
 
-// Calls counts the calls made so far, waiting watches included.
+// Calls returns the number of calls made so far, including waiting watches.
 func (c *Client) Calls() int64 { return c.calls.Load() }
 
-// Now returns the platform's clock as of its last answer. Retention on the
-// platform is reckoned by it: the clock of a host may jump, and an expiry
-// reckoned by a clock a day ahead would drop what is still needed.
-func (c *Client) Now() time.Time { return time.Unix(c.now.Load(), 0) }
+// Now returns the platform's time as of its last response. Expiry on the platform is
+// computed from it: a host's clock may jump, and expiry by a clock that is a day ahead
+// would delete objects that are still needed.
+func (c *Client) Now() time.Time { return time.Unix(c.platformTime.Load(), 0) }
 
 // Get reads one object.
 func (c *Client) Get(ctx context.Context, key string) (object.Object, error) {
@@ -95,8 +93,8 @@
 	return o, err
 }
 
-// Put writes an object if its version is still ifVersion; object.Absent
-// creates it.
+// Put writes an object if its version is still ifVersion; object.Absent creates
+// it. value is encoded as JSON. The result is the object as stored.
 func (c *Client) Put(ctx context.Context, key string, ifVersion uint64, value any) (object.Object, error) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -105,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	var o object.Object
-	err = c.do(ctx, http.MethodPut, "objects/"+key, 0, condition(ifVersion), body, &o)
+	err = c.do(ctx, http.MethodPut, "objects/"+key, 0, precondition(ifVersion), body, &o)
 	return o, err
 }
 
@@ -113,19 +111,19 @@
 func (c *Client) Delete(ctx context.Context, key string, ifVersion uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	return c.do(ctx, http.MethodDelete, "objects/"+key, 0, condition(ifVersion), nil, nil)
+	return c.do(ctx, http.MethodDelete, "objects/"+key, 0, precondition(ifVersion), nil, nil)
 }
 
-// List reads all objects under the prefixes.
+// List returns all objects under the prefixes.
 func (c *Client) List(ctx context.Context, prefixes ...string) (object.Page, error) {
 	var p object.Page
 	err := c.read(ctx, "objects?"+url.Values{"prefix": prefixes}.Encode(), 0, &p)
 	return p, err
 }
 
-// Watch waits until objects under the prefixes change after a revision, or
-// until wait is over, and returns the changed ones. It is one platform call
-// however many prefixes it names.
+// Watch waits until objects under the prefixes change after a revision, or for
+// the time wait, and returns the changed ones. It is one platform call for any
+// number of prefixes.
 func (c *Client) Watch(ctx context.Context, after uint64, wait time.Duration, prefixes ...string) (object.Page, error) {
 	q := url.Values{"prefix": prefixes}
 	q.Set("after", strconv.FormatUint(after, 10))
@@ -135,14 +133,15 @@
 	return p, err
 }
 
-// read makes a call that the platform answers after a wait.
+// read makes a GET call that the platform may answer only after wait.
 func (c *Client) read(ctx context.Context, path string, wait time.Duration, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, wait+readTimeout)
 	defer cancel()
 	return c.do(ctx, http.MethodGet, path, wait, nil, nil, out)
 }
 
-func condition(ifVersion uint64) http.Header {
+// precondition returns the header that makes a write conditional on a version.
+func precondition(ifVersion uint64) http.Header {
 	if ifVersion == object.Absent {
 		return http.Header{"If-None-Match": {"*"}}
 	}
@@ -151,7 +150,7 @@
 
 func (c *Client) do(ctx context.Context, method, path string, wait time.Duration, header http.Header, body []byte, out any) error {
 	c.calls.Add(1)
-	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("platform: %w", err)
 	}
@@ -164,12 +163,12 @@
 	}
 	defer resp.Body.Close()
 	if at, err := http.ParseTime(resp.Header.Get("Date")); err == nil {
-		c.now.Store(at.Unix())
+		c.platformTime.Store(at.Unix())
 	}
 	if err := status(resp.StatusCode); err != nil {
 		return fmt.Errorf("%w (%s %s)", err, method, path)
 	}
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return object.ClassifyError(method, err)
 	}
@@ -177,7 +176,7 @@
 		return nil
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return fmt.Errorf("%w: answer not understood: %w", object.ErrUnknown, err)
+		return fmt.Errorf("%w: malformed response: %w", object.ErrUnknown, err)
 	}
 	return nil
 }
--- a/internal/platform/client/client_test.go
+++ b/internal/platform/client/client_test.go
@@ -16,8 +16,8 @@
 
 const timeout = time.Second
 
-// slow writes an answer in pieces; all of it takes twice the client's timeout.
-func slow(w http.ResponseWriter, answer string) {
+// writeSlowly writes a response in pieces, over twice the client's timeout.
+func writeSlowly(w http.ResponseWriter, answer string) {
 	const pieces = 8
 	for i := range pieces {
 		_, _ = io.WriteString(w, answer[len(answer)*i/pieces:len(answer)*(i+1)/pieces])
@@ -26,12 +26,12 @@
 	}
 }
 
-// The link is busy, and a list of a megabyte takes longer than a call may wait for its
-// answer. It was given up and begun anew for ever, though its bytes came all the time.
-func TestLargeListsOverABusyLink(t *testing.T) {
+// On a busy link a list of a megabyte takes longer than the client's timeout. With a fixed
+// timeout per call it would be aborted and restarted forever although bytes keep arriving.
+func TestLargeListOverSlowLink(t *testing.T) {
 	value := strings.Repeat("x", 1<<20)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		slow(w, fmt.Sprintf(`{"Revision":3,"Objects":[{"Key":"config/current","Version":2,"Value":%q}]}`, value))
+		writeSlowly(w, fmt.Sprintf(`{"Revision":3,"Objects":[{"Key":"config/current","Version":2,"Value":%q}]}`, value))
 	}))
 	defer server.Close()
 	c := New(Config{Address: server.Listener.Addr().String(), Timeout: timeout})
@@ -44,12 +44,12 @@
 	}
 }
 
-// A platform that takes calls and is silent must not hold a daemon up, and a write must
-// not last beyond its time even if bytes come.
-func TestSilenceAndSlowWritesEnd(t *testing.T) {
+// A platform that accepts calls and never responds must not block a daemon. A write must end
+// within its timeout even if bytes keep arriving.
+func TestSilentReadAndSlowWriteTimeOut(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodPut {
-			slow(w, `{"Key":"a","Version":2}`+strings.Repeat(" ", 100))
+			writeSlowly(w, `{"Key":"a","Version":2}`+strings.Repeat(" ", 100))
 			return
 		}
 		<-r.Context().Done()
@@ -62,6 +62,6 @@
 		t.Errorf("error %v", err)
 	}
 	if _, err := c.Put(ctx, "a", 1, 5); !errors.Is(err, object.ErrUnknown) {
-		t.Errorf("error %v, the write may stand", err)
+		t.Errorf("error %v, but the write may have taken effect", err)
 	}
 }
--- a/internal/platform/cloud/cloud.go
+++ b/internal/platform/cloud/cloud.go
@@ -1,11 +1,10 @@
-// Package cloud speaks the platform's cloud API.
+// Package cloud is a client of the platform's cloud API, which starts and stops hosts.
 //
-// # Starting a host at most once
-//
-// A start bears a token that the caller has chosen and written down before.
-// The cloud answers a repeated token with the host that it has started
-// already. So whoever does not know whether a start took effect, be it that
-// the answer was lost or that the caller died, repeats it with the same token.
+// Each start carries a token that the caller has chosen and stored beforehand.
+// The cloud answers a repeated token with the host that it has already started. A
+// caller that does not know whether a start took effect, because the response was
+// lost or because its predecessor crashed, repeats it with the same token, so that
+// a host is started at most once.
 //
 // # Usage
 //
@@ -30,55 +29,59 @@
 )
 
 const (
-	callTimeout = 2 * time.Second
-	dialTimeout = time.Second
-	maxAnswer   = 1 << 16
+	callTimeout      = 2 * time.Second
+	dialTimeout      = time.Second
+	maxResponseBytes = 1 << 16
 )
 
-// Failures of the cloud.
+// Errors of the cloud API.
 var (
-	// ErrRefused is returned when the cloud has no such host to give now.
+	// ErrRefused means that the cloud has no such host available now.
 	ErrRefused = errors.New("cloud: refused")
-	// ErrUnknown is returned when a call may have taken effect; repeat it with
-	// the same token.
+	// ErrUnknown means that the call may have taken effect. Repeat a start with the
+	// same token.
 	ErrUnknown = errors.New("cloud: outcome unknown")
 )
 
-// Config says where the cloud API is.
+// Config holds the addresses of a client.
 type Config struct {
+	// Address is IP:port of the cloud API.
 	Address string
 	// Source is the local address to connect from; nil for any.
 	Source net.Addr
 }
 
-// Start asks for one host.
+// Start is the request to start one host.
 type Start struct {
+	// Token makes the start idempotent, see the package comment.
 	Token            string
 	AvailabilityZone identifier.AvailabilityZone
 	Class            document.Class
 	Pool             identifier.Pool
-	// Owner is the zone for which the host is started; the host list shows it.
+	// Owner is the zone for which the host is started. The host list shows it.
 	Owner identifier.AvailabilityZone
 }
 
-// Started is the cloud's answer.
+// Started is the response to a Start.
 type Started struct {
+	// Host is the id of the started host.
 	Host identifier.Host
 }
 
-// Cloud calls one cloud API. It is safe for concurrent use.
+// Cloud calls the cloud API. It is safe for concurrent use.
 type Cloud struct {
-	base string
-	http http.Client
+	baseURL string
+	http    http.Client
 }
 
-// New returns a client; it connects when used.
+// New returns a client. It connects when first used.
 func New(c Config) *Cloud {
 	d := net.Dialer{Timeout: dialTimeout, LocalAddr: c.Source}
-	return &Cloud{base: "http://" + c.Address + "/cloud/hosts", http: http.Client{Transport: &http.Transport{DialContext: d.DialContext}}}
+	return &Cloud{baseURL: "http://" + c.Address + "/cloud/hosts", http: http.Client{Transport: &http.Transport{DialContext: d.DialContext}}}
 }
 
-// Start starts a host, or returns the one that this token has started.
+// Start starts a host, or returns the one that was already started with the same
+// token. The error wraps ErrRefused or ErrUnknown.
 func (c *Cloud) Start(ctx context.Context, s *Start) (identifier.Host, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -89,7 +92,7 @@
 	return out.Host, err
 }
 
-// Stop gives a host back. It gets a notice like a reclaimed one.
+// Stop returns a host to the cloud. The host gets a notice like a reclaimed one.
 func (c *Cloud) Stop(ctx context.Context, h identifier.Host) error {
 	return c.do(ctx, http.MethodDelete, "/"+string(h), nil, nil)
 }
@@ -97,7 +100,7 @@
 func (c *Cloud) do(ctx context.Context, method, path string, body []byte, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	r, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
@@ -114,7 +117,7 @@
 	case out == nil:
 		return nil
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(out); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(out); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnknown, err)
 	}
 	return nil
--- a/internal/platform/inventory/inventory.go
+++ b/internal/platform/inventory/inventory.go
@@ -1,11 +1,10 @@
-// Package inventory holds the records in which the platform lists hosts.
+// Package inventory declares the platform's records of hosts and the keys of the
+// objects in its store.
 //
-// # Keys
-//
-// The platform publishes a [Host] under hosts/ZONE/HOST, some time after the
-// fact, and a [Notice] under notices/ZONE/HOST as soon as it decides to
-// reclaim the host. One object a host keeps a change small: a daemon that
-// watches 1,200 hosts receives the one record that changed.
+// The platform publishes a [Host] under hosts/ZONE/HOST, some time after a change,
+// and a [Notice] under notices/ZONE/HOST as soon as it decides to reclaim the
+// host. With one object per host a change stays small: a daemon that watches 1,200
+// hosts receives only the record that changed.
 //
 // # Usage
 //
@@ -20,7 +19,7 @@
 	"brasschute/internal/core/identifier"
 )
 
-// The prefixes of the platform's and the system's own objects.
+// Keys and key prefixes of the platform's objects and of the system's own.
 const (
 	HostPrefix          = "hosts/"
 	NoticePrefix        = "notices/"
@@ -34,7 +33,7 @@
 	RepairPrefix        = "repairs/"
 )
 
-// State tells what the platform believes of a host.
+// State is the state of a host according to the platform.
 type State string
 
 // The states of a host.
@@ -49,10 +48,10 @@
 	AvailabilityZone identifier.AvailabilityZone
 	Class            document.Class
 	Incarnation      identifier.Incarnation
-	// Born is when the host's endpoint started, where the platform tells.
+	// Born is the start time of the host's endpoint, 0 if the platform doesn't state it.
 	Born  identifier.StartTime `json:",omitempty"`
 	State State
-	// Owner is the zone on whose behalf the host was started, if another.
+	// Owner is the zone for which the host was started, if it is not the host's own.
 	Owner     identifier.AvailabilityZone `json:",omitempty"`
 	Endpoints []Endpoint
 }
@@ -63,9 +62,9 @@
 	Pool     identifier.Pool
 	// Address is IP:port.
 	Address string
-	// Version is that of its software, where the platform tells.
+	// Version is the version of its software, empty if the platform doesn't state it.
 	Version identifier.Version `json:",omitempty"`
-	// Cold is how much longer it is slow after its start.
+	// Cold is how much longer the endpoint is slow because it started recently.
 	Cold time.Duration `json:",omitempty"`
 }
 
@@ -74,17 +73,18 @@
 	Host             identifier.Host
 	AvailabilityZone identifier.AvailabilityZone
 	Incarnation      identifier.Incarnation
-	// Deadline is when the host is taken away, by the platform's clock.
+	// Deadline is when the host is reclaimed, by the platform's clock.
 	Deadline time.Time
 }
 
-// Member is an entry daemon's own record, by which peers find it.
+// Member is the record that an entry daemon writes so that peers find it.
 type Member struct {
 	Host             identifier.Host
 	AvailabilityZone identifier.AvailabilityZone
 	Incarnation      identifier.Incarnation
-	// PeerAddress is IP:port of the listener for peers.
+	// PeerAddress is IP:port of the daemon's listener for peers.
 	PeerAddress string
-	// RenewedUnix is the platform's time of the last renewal, in seconds.
+	// RenewedUnix is the time of the last renewal, in Unix seconds by the platform's
+	// clock.
 	RenewedUnix int64
 }
--- a/internal/platform/object/object.go
+++ b/internal/platform/object/object.go
@@ -1,11 +1,9 @@
-// Package object holds the platform's stored object and its typed failures.
+// Package object declares the platform's stored object and the errors of its API.
 //
-// # Failures of a write
-//
-// A write to the platform can fail in three ways that must not be mixed up.
-// [ErrConflict] and [ErrUnavailable] mean that it has not taken effect and
-// never will. [ErrUnknown] means that it may have, or may still: whoever gets
-// it reads back before acting on either belief.
+// A write to the platform can fail in three ways. [ErrConflict] and
+// [ErrUnavailable] mean that it has not taken effect and never will.
+// [ErrUnknown] means that it may have taken effect or may still do so: the caller
+// must read the object back before it relies on either outcome.
 //
 // # Usage
 //
@@ -23,46 +21,51 @@
 	"net/http"
 )
 
-// Failures that the platform's client returns.
+// Errors of the platform's clients.
 var (
-	// ErrConflict: the object's version is not the expected one.
+	// ErrConflict means that the object's version is not the expected one.
 	ErrConflict = errors.New("platform: version conflict")
-	// ErrUnavailable: the platform did not take the call; nothing happened.
+	// ErrUnavailable means that the platform did not accept the call, which had no
+	// effect.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUnknown: the call was sent and its answer was lost.
+	// ErrUnknown means that the call was sent and its response was lost.
 	ErrUnknown = errors.New("platform: outcome unknown")
-	// ErrMissing: there is no such object.
+	// ErrMissing means that there is no such object.
 	ErrMissing = errors.New("platform: no such object")
-	// ErrGap: the watch fell too far behind; list again.
+	// ErrGap means that the watch is too far behind and the objects must be listed
+	// again.
 	ErrGap = errors.New("platform: watch gap")
 )
 
-// Absent is the version that an object has before it is created.
+// Absent is the version of an object that does not exist.
 const Absent uint64 = 0
 
 // Object is one stored value with its version.
 type Object struct {
+	// Key is the object's kind and name, separated by a slash.
 	Key string
 	// Version is the platform's revision of the last write to the object. It
-	// rises over all objects, so it also orders writes to different keys.
+	// increases over all objects, so it also orders writes to different keys.
 	Version uint64
-	// Deleted marks, in a watch, the removal of the object.
+	// Deleted is set, in a watch, if the object was removed.
 	Deleted bool `json:",omitempty"`
 	Value   json.RawMessage
 }
 
-// Page is an answer of List or Watch: objects and the revision they show.
+// Page is the result of a list or a watch: objects, and the revision of the store that
+// they show.
 type Page struct {
 	Revision uint64
 	Objects  []Object
-	// Unreadable says of each entry that could not be read what was found. The others
-	// hold.
+	// Unreadable holds an error for each entry that could not be decoded. The other
+	// entries are valid.
 	Unreadable []error
 }
 
-// ClassifyError classifies a call over HTTP that got no whole answer. Only a failed dial
-// proves that a write did not reach the store; after that the answer may have been
-// lost on its way back, so the write may stand.
+// ClassifyError classifies the error of an HTTP call without a complete response, and
+// returns one that wraps ErrUnavailable or ErrUnknown. Only a failed dial proves that a
+// write did not reach the store; otherwise the response may have been lost on its way back
+// and the write may have taken effect.
 func ClassifyError(method string, err error) error {
 	var op *net.OpError
 	if method == http.MethodGet || errors.As(err, &op) && op.Op == "dial" {
--- a/internal/platform/registrar/registrar.go
+++ b/internal/platform/registrar/registrar.go
@@ -1,23 +1,19 @@
-// Package registrar tells the lives of endpoints apart.
+// Package registrar distinguishes the incarnations of endpoints.
 //
-// # Why
+// An endpoint may restart under the same id. It has then lost its state, and whatever
+// is recorded by the id alone becomes wrong: that it is leaving, what it has cached,
+// how loaded it is. An endpoint states its start time by its own clock. As clocks may
+// go back, the start time only shows that two incarnations differ; which one is newer
+// follows from the revisions of its records in the platform's store. An update from any
+// other source counts only if it is of the current incarnation ([Registrar.Current]).
 //
-// An endpoint may start again under the id that it had. It then holds nothing of what it
-// held before, and whatever is known by the id alone outlives its truth: that it leaves,
-// what it has cached, how loaded it is. An endpoint says when it was born, by its own
-// clock; clocks go back, so the time only tells that two lives differ, and which one is
-// the newer is told by the revisions of its records in the platform's store. What is
-// heard from elsewhere counts for the present life only ([Registrar.Current]).
-//
-// # Numbers
-//
-// Each life gets an [identifier.Incarnation] of this daemon's own, higher than any before.
-// Daemons tell each other the time of birth, never these numbers.
+// Each incarnation gets an [identifier.Incarnation] number, higher than any before. The
+// numbers are local to this daemon: daemons exchange start times, never these numbers.
 //
 // # Usage
 //
-//	n, err := r.Record("i-1", born, revision) // from the store
-//	n, ok := r.Told("i-1", born)              // from a peer
+//	n, err := r.Register("i-1", startTime, revision) // from the store
+//	n, ok := r.Current("i-1", startTime)             // from a peer
 package registrar
 
 import (
@@ -29,93 +25,97 @@
 	"brasschute/internal/core/identifier"
 )
 
-// maxLives bounds what is remembered: hours of a fleet that starts an endpoint every few
-// seconds. Those whose records are oldest are forgotten.
-const maxLives = 8192
+// maxEndpoints bounds the endpoints remembered, enough for hours of a fleet that starts an
+// endpoint every few seconds. Those with the oldest records are evicted.
+const maxEndpoints = 8192
 
 // Errors of a record.
 var (
-	// ErrStale: a newer record of the endpoint is known.
+	// ErrStale means that a newer record of the endpoint is known.
 	ErrStale = errors.New("registrar: a newer record of the endpoint is known")
-	// ErrNoStartTime: the record lacks the time of birth that an earlier one had, so the
-	// endpoint did not write it.
-	ErrNoStartTime = errors.New("registrar: the record lacks the time of birth, which earlier ones had")
+	// ErrNoStartTime means that the record has no start time although an earlier one had,
+	// so the endpoint did not write it.
+	ErrNoStartTime = errors.New("registrar: the record has no start time, but earlier records had one")
 )
 
-type life struct {
-	endpoint identifier.Endpoint
-	born     identifier.StartTime
-	number   identifier.Incarnation
-	revision uint64
-	// first: no other life of the endpoint is known.
-	first bool
+// entry is the current incarnation of an endpoint.
+type entry struct {
+	endpoint    identifier.Endpoint
+	startTime   identifier.StartTime
+	incarnation identifier.Incarnation
+	revision    uint64
+	// onlyOne is set if no other incarnation of the endpoint has been seen.
+	onlyOne bool
 }
 
-// Registrar numbers lives. The zero value knows none; it is safe for concurrent use.
+// Registrar numbers the incarnations of endpoints. The zero value knows none and is ready
+// for use. It is safe for concurrent use.
 type Registrar struct {
-	mu    sync.Mutex
-	last  identifier.Incarnation
-	lives map[identifier.Endpoint]life
+	mu      sync.Mutex
+	last    identifier.Incarnation
+	entries map[identifier.Endpoint]entry
 }
 
-// Register returns the life of which a record in the store tells. born is 0 where the
-// endpoint does not say it.
-func (r *Registrar) Register(e identifier.Endpoint, born identifier.StartTime, revision uint64) (identifier.Incarnation, error) {
+// Register returns the incarnation to which a record in the store belongs. startTime is 0 if
+// the record has none. The error is ErrStale or ErrNoStartTime.
+func (r *Registrar) Register(e identifier.Endpoint, startTime identifier.StartTime, revision uint64) (identifier.Incarnation, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.lives[e]
+	known, ok := r.entries[e]
 	switch {
 	case ok && revision < known.revision:
 		return 0, ErrStale
-	case ok && born == 0 && known.born != 0:
+	case ok && startTime == 0 && known.startTime != 0:
 		return 0, ErrNoStartTime
-	case ok && born == known.born:
+	case ok && startTime == known.startTime:
 		known.revision = revision
 	default:
 		r.last++
-		known = life{endpoint: e, born: born, number: r.last, revision: revision, first: !ok}
+		known = entry{endpoint: e, startTime: startTime, incarnation: r.last, revision: revision, onlyOne: !ok}
 	}
-	if r.lives == nil {
-		r.lives = make(map[identifier.Endpoint]life)
+	if r.entries == nil {
+		r.entries = make(map[identifier.Endpoint]entry)
 	}
-	r.lives[e] = known
-	if len(r.lives) > maxLives {
-		r.forget()
+	r.entries[e] = known
+	if len(r.entries) > maxEndpoints {
+		r.evictOldest()
 	}
-	return known.number, nil
+	return known.incarnation, nil
 }
 
-// forget drops the half whose records are oldest. The caller holds the lock.
-func (r *Registrar) forget() {
-	all := make([]life, 0, len(r.lives))
-	for _, l := range r.lives {
+// evictOldest removes the half of the entries with the oldest records. The caller holds
+// the lock.
+func (r *Registrar) evictOldest() {
+	all := make([]entry, 0, len(r.entries))
+	for _, l := range r.entries {
 		all = append(all, l)
 	}
-	slices.SortFunc(all, func(a, b life) int { return cmp.Compare(a.revision, b.revision) })
+	slices.SortFunc(all, func(a, b entry) int { return cmp.Compare(a.revision, b.revision) })
 	for _, l := range all[:len(all)/2] {
-		delete(r.lives, l.endpoint)
+		delete(r.entries, l.endpoint)
 	}
 }
 
-// Current returns the present life of an endpoint, if it is the one born then.
-func (r *Registrar) Current(e identifier.Endpoint, born identifier.StartTime) (identifier.Incarnation, bool) {
+// Current returns the current incarnation of an endpoint, if it has this start time.
+func (r *Registrar) Current(e identifier.Endpoint, startTime identifier.StartTime) (identifier.Incarnation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.lives[e]
-	if !ok || known.born != born {
+	known, ok := r.entries[e]
+	if !ok || known.startTime != startTime {
 		return 0, false
 	}
-	return known.number, true
+	return known.incarnation, true
 }
 
-// CurrentByID returns the present life of an endpoint of which a peer told that does not tell
-// lives apart, if no other life is known that it may have meant.
+// CurrentByID returns the current incarnation of an endpoint for an update from a peer that
+// does not distinguish incarnations, if no other incarnation is known that the peer may
+// have meant.
 func (r *Registrar) CurrentByID(e identifier.Endpoint) (identifier.Incarnation, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known, ok := r.lives[e]
-	if !ok || !known.first {
+	known, ok := r.entries[e]
+	if !ok || !known.onlyOne {
 		return 0, false
 	}
-	return known.number, true
+	return known.incarnation, true
 }
--- a/internal/platform/watcher/watcher.go
+++ b/internal/platform/watcher/watcher.go
@@ -1,32 +1,27 @@
-// Package watcher follows the platform's objects and survives its outages.
+// Package watcher mirrors the platform's objects into a sink, through outages of the
+// platform.
 //
-// # How it follows
+// A [Watcher] lists all objects once, then watches all prefixes with a single call. A
+// waiting watch counts as a platform call, so each daemon keeps only one. After a gap
+// the watcher lists again. During an outage it retries with exponential, jittered
+// backoff, so that the fleet's daemons do not all return at once when the platform
+// recovers.
 //
-// A [Watcher] lists everything once, then waits in a single watch over all
-// prefixes; a waiting watch counts as a platform call, so each daemon keeps
-// one and no more. After a gap it lists again. During an outage it retries
-// with doubling, jittered pauses, so that a fleet does not return as a
-// stampede when the platform heals.
+// After a watch that returned changes the watcher pauses briefly: if a whole zone is
+// reclaimed, hundreds of objects change within seconds, and each change would otherwise
+// cause a call from every daemon of the fleet. The first change is never delayed, only
+// those that follow it.
 //
-// After a watch that brought something it rests a moment: when a whole zone is
-// reclaimed, hundreds of objects change within seconds, and each would wake
-// every daemon of the fleet for a call of its own. The first news is never
-// held up, only what follows it.
+// A read may be stale: the platform may answer a list from a replica that is behind
+// what this daemon has already seen. The watcher remembers the version of each key and
+// drops older ones, so that an object never goes back to an earlier version in the sink. A
+// list that is behind the last revision seen does not remove keys.
 //
-// # Never backwards
-//
-// A read may be stale: the platform may answer a list from a copy that is
-// behind what this daemon has already seen. The watcher remembers the version
-// of each key and drops older ones, so that a sink never sees an object move
-// back. A list that is behind the last revision seen does not remove keys.
-//
-// # Entries that lapse
-//
-// Objects that are kept alive by their owners lapse while the platform is away, and
-// are back within two seconds of its return. A list that this daemon makes when the
-// platform has just come back, or when it has not followed the platform itself for a
-// while, ends nothing; a second one does, [settle] later. In between others may
-// know which of the missing objects have really ended ([List]).
+// Objects that their owners must renew lapse while the platform is unavailable, and
+// are back within two seconds of its return. The first list after an outage, or after a
+// time in which this daemon did not follow the platform, therefore removes nothing; a
+// second list, made after lapseGrace, does. In the meantime peers may know which of the
+// missing objects have really ended ([List]).
 //
 // # Usage
 //
@@ -45,80 +40,85 @@
 )
 
 const (
-	defaultWait = 20 * time.Second
-	firstPause  = 100 * time.Millisecond
-	longPause   = 2 * time.Second
-	retainSeen  = 1 << 16
-	// rest is the pause after a watch that brought something.
-	rest = 500 * time.Millisecond
-	// settle is how long after the platform's return lists may lack objects that
-	// have not ended: two seconds, as published, and a margin.
-	settle = 2300 * time.Millisecond
-	// idlePause is how long an idle watcher may go on though it is needed.
-	idlePause = 250 * time.Millisecond
+	defaultWatchTimeout = 20 * time.Second
+	minBackoff          = 100 * time.Millisecond
+	maxBackoff          = 2 * time.Second
+	maxSeenKeys         = 1 << 16
+	// watchCooldown is the longest pause after a watch that returned changes.
+	watchCooldown = 500 * time.Millisecond
+	// lapseGrace is how long after the platform's return a list may lack objects that
+	// have not ended: the two seconds that the platform documents, and a margin.
+	lapseGrace = 2300 * time.Millisecond
+	// idlePollInterval is how often an idle watcher checks whether it is needed again.
+	idlePollInterval = 250 * time.Millisecond
 )
 
-// Platform is what the watcher needs of the platform's client.
+// Platform is the part of the platform's client that the watcher uses.
 type Platform interface {
 	List(ctx context.Context, prefixes ...string) (object.Page, error)
 	Watch(ctx context.Context, after uint64, wait time.Duration, prefixes ...string) (object.Page, error)
 }
 
-// Sink receives each object once per version. What one list or one watch brought
-// comes in one call, the ends of objects included: half of a list taken for the
-// whole would be passed on, or requests placed by it.
+// Sink receives each version of an object once. The objects of one list or one watch
+// arrive in one call, together with the deletions: a partial list taken for the whole
+// would be passed on to peers and used for routing.
 type Sink interface {
 	Apply([]object.Object)
 }
 
-// Config names what to follow and who is told.
+// Config holds the watcher's dependencies and callbacks.
 type Config struct {
 	Platform Platform
 	Sink     Sink
+	// Prefixes are the key prefixes to follow.
 	Prefixes []string
-	// Wait is the longest that one watch stays open; 20 s if zero.
+	// Wait is the longest time that one watch stays open; 20 s if zero.
 	Wait time.Duration
-	// Known returns the keys, with their versions, that were learned from others
-	// than the platform; may be nil. A list ends those of them that it does not
-	// show and that are not newer.
+	// Known returns the keys and versions that were learned from other sources than
+	// the platform; may be nil. A list removes those that it lacks, unless they are
+	// newer than the list.
 	Known func() map[string]uint64
-	// OnList is told of each list before its objects are applied; may be nil.
+	// OnList is called for each list before its objects are applied; may be nil.
 	OnList func(List)
-	// Idle tells that others follow the objects for this daemon, and no call
-	// need be made; nil for never.
+	// Idle reports that peers follow the objects for this daemon, so that no calls
+	// are needed; nil for never.
 	Idle func() bool
-	// OnResult is told of each success (nil) and failure; may be nil.
+	// OnResult is called with nil after each successful call and with the error
+	// after each failed one; may be nil.
 	OnResult func(error)
-	// OnUnreadable is told of entries that could not be read; may be nil.
+	// OnUnreadable is called with the errors of entries that could not be decoded;
+	// may be nil.
 	OnUnreadable func([]error)
 }
 
-// List describes a list that was made.
+// List describes the result of one list call.
 type List struct {
 	Revision uint64
-	// Gap: the platform was not followed right before, so changes have gone unseen.
+	// Gap is set if the platform was not followed right before, so that changes may
+	// have been missed.
 	Gap bool
-	// Uncertain: objects were missing that may have ended, or lapsed.
+	// Uncertain is set if objects were missing that may have ended or only lapsed.
+	// The list did not remove them.
 	Uncertain bool
 }
 
-// Watcher follows a set of prefixes.
+// Watcher follows the objects under a set of prefixes.
 type Watcher struct {
-	c     Config
-	after uint64
-	seen  map[string]uint64
-	// away: the last call failed, or the platform has not been followed. trusted is
-	// from when on a list ends what it lacks, relist when the next one is due, if
-	// it is.
-	away    bool
-	trusted time.Time
-	relist  time.Time
+	c        Config
+	revision uint64
+	seen     map[string]uint64
+	// interrupted is set if the last call failed or the platform was not followed.
+	// From trustedFrom on, a list removes the objects that it lacks. relistAt is when
+	// the next list is due; zero if none is pending.
+	interrupted bool
+	trustedFrom time.Time
+	relistAt    time.Time
 }
 
 // New returns a watcher that has seen nothing.
 func New(c Config) *Watcher {
 	if c.Wait == 0 {
-		c.Wait = defaultWait
+		c.Wait = defaultWatchTimeout
 	}
 	if c.Idle == nil {
 		c.Idle = func() bool { return false }
@@ -135,12 +135,12 @@
 	if c.OnList == nil {
 		c.OnList = func(List) {}
 	}
-	return &Watcher{c: c, seen: make(map[string]uint64), away: true}
+	return &Watcher{c: c, seen: make(map[string]uint64), interrupted: true}
 }
 
-// Serve follows until ctx ends.
+// Serve follows the objects until ctx ends, and returns the error of ctx.
 func (w *Watcher) Serve(ctx context.Context) error {
-	pause := firstPause
+	pause := minBackoff
 	listed := false
 	for ctx.Err() == nil {
 		if listed && w.c.Idle() {
@@ -152,38 +152,40 @@
 			break
 		}
 		w.c.OnResult(err)
-		w.away = w.away || err != nil
+		w.interrupted = w.interrupted || err != nil
 		if err == nil {
-			pause = firstPause
+			pause = minBackoff
 			continue
 		}
 		waiter.For(ctx, pause/2+rand.N(pause))
-		pause = min(2*pause, longPause)
+		pause = min(2*pause, maxBackoff)
 	}
 	return ctx.Err()
 }
 
-// idle waits until the objects are to be followed again. What changed meanwhile
-// takes a list.
+// idle waits until the watcher is needed again. It returns false, as the changes made
+// meanwhile require a list.
 func (w *Watcher) idle(ctx context.Context) (listed bool) {
-	for w.c.Idle() && waiter.For(ctx, idlePause) {
+	for w.c.Idle() && waiter.For(ctx, idlePollInterval) {
 	}
-	w.away = true
+	w.interrupted = true
 	return false
 }
 
-// heard notes that a call succeeded.
-func (w *Watcher) heard() {
-	if w.away {
-		w.away = false
-		w.trusted = time.Now().Add(settle)
+// markReachable records a successful call. After an interruption, lists are trusted
+// only after lapseGrace.
+func (w *Watcher) markReachable() {
+	if w.interrupted {
+		w.interrupted = false
+		w.trustedFrom = time.Now().Add(lapseGrace)
 	}
 }
 
+// step makes one call, a list or a watch, and applies its result.
 func (w *Watcher) step(ctx context.Context, listed *bool) error {
 	wait := w.c.Wait
-	if !w.relist.IsZero() {
-		wait = min(wait, time.Until(w.relist))
+	if !w.relistAt.IsZero() {
+		wait = min(wait, time.Until(w.relistAt))
 	}
 	if !*listed || wait <= 0 {
 		if err := w.list(ctx); err != nil {
@@ -192,7 +194,7 @@
 		*listed = true
 		return nil
 	}
-	p, err := w.c.Platform.Watch(ctx, w.after, wait, w.c.Prefixes...)
+	p, err := w.c.Platform.Watch(ctx, w.revision, wait, w.c.Prefixes...)
 	if errors.Is(err, object.ErrGap) {
 		*listed = false
 		return nil
@@ -200,12 +202,12 @@
 	if err != nil {
 		return err
 	}
-	w.heard()
-	w.unreadable(&p)
-	w.apply(w.news(p.Objects))
-	w.after = max(w.after, p.Revision)
+	w.markReachable()
+	w.reportUnreadable(&p)
+	w.apply(w.takeNewer(p.Objects))
+	w.revision = max(w.revision, p.Revision)
 	if len(p.Objects) > 0 {
-		waiter.For(ctx, rest/2+rand.N(rest/2))
+		waiter.For(ctx, watchCooldown/2+rand.N(watchCooldown/2))
 	}
 	return nil
 }
@@ -215,71 +217,72 @@
 	if err != nil {
 		return err
 	}
-	gap := w.away
-	w.heard()
-	w.unreadable(&p)
-	due := !w.relist.IsZero()
-	w.relist = time.Time{}
+	gap := w.interrupted
+	w.markReachable()
+	w.reportUnreadable(&p)
+	pending := !w.relistAt.IsZero()
+	w.relistAt = time.Time{}
 	known := w.c.Known()
-	news := w.news(p.Objects)
-	var ends []object.Object
-	if p.Revision >= w.after {
-		ends = w.vanished(&p, known)
+	newer := w.takeNewer(p.Objects)
+	var deletions []object.Object
+	if p.Revision >= w.revision {
+		deletions = w.missingObjects(&p, known)
 	}
-	stale := p.Revision < w.after
-	doubt := len(ends) > 0 && time.Now().Before(w.trusted)
-	if !doubt {
-		news = append(news, w.news(ends)...)
+	stale := p.Revision < w.revision
+	uncertain := len(deletions) > 0 && time.Now().Before(w.trustedFrom)
+	if !uncertain {
+		newer = append(newer, w.takeNewer(deletions)...)
 	}
-	w.c.OnList(List{Revision: p.Revision, Gap: gap, Uncertain: doubt})
-	w.apply(news)
-	w.after = max(w.after, p.Revision)
+	w.c.OnList(List{Revision: p.Revision, Gap: gap, Uncertain: uncertain})
+	w.apply(newer)
+	w.revision = max(w.revision, p.Revision)
 	switch {
-	case doubt:
-		w.relist = w.trusted
-	case due && stale:
-		// A stale list ends nothing, and the ends are still due.
-		w.relist = time.Now().Add(firstPause)
+	case uncertain:
+		w.relistAt = w.trustedFrom
+	case pending && stale:
+		// A stale list removes nothing, so the removals are still pending.
+		w.relistAt = time.Now().Add(minBackoff)
 	}
 	return nil
 }
 
-// unreadable passes on what could not be read of a page.
-func (w *Watcher) unreadable(p *object.Page) {
+// reportUnreadable reports the entries of a page that could not be decoded.
+func (w *Watcher) reportUnreadable(p *object.Page) {
 	if len(p.Unreadable) > 0 {
 		w.c.OnUnreadable(p.Unreadable)
 	}
 }
 
-// apply tells the sink if there is news.
-func (w *Watcher) apply(news []object.Object) {
-	if len(news) > 0 {
-		w.c.Sink.Apply(news)
+// apply passes objects to the sink, if there are any.
+func (w *Watcher) apply(newer []object.Object) {
+	if len(newer) > 0 {
+		w.c.Sink.Apply(newer)
 	}
 }
 
-// vanished returns the ends of objects that a list lacks: those seen here, and those
-// that others told of and that are not newer.
-func (w *Watcher) vanished(p *object.Page, known map[string]uint64) (ends []object.Object) {
+// missingObjects returns deletions for the objects that a list lacks: those seen here, and
+// those learned from peers that are not newer than the list.
+func (w *Watcher) missingObjects(p *object.Page, known map[string]uint64) (deletions []object.Object) {
 	present := make(map[string]bool, len(p.Objects))
 	for i := range p.Objects {
 		present[p.Objects[i].Key] = true
 	}
 	for key, version := range known {
 		if !present[key] && version <= p.Revision && w.seen[key] == 0 {
-			ends = append(ends, object.Object{Key: key, Version: p.Revision, Deleted: true})
+			deletions = append(deletions, object.Object{Key: key, Version: p.Revision, Deleted: true})
 		}
 	}
 	for key, version := range w.seen {
 		if !present[key] {
-			ends = append(ends, object.Object{Key: key, Version: max(version, p.Revision), Deleted: true})
+			deletions = append(deletions, object.Object{Key: key, Version: max(version, p.Revision), Deleted: true})
 		}
 	}
-	return ends
+	return deletions
 }
 
-// news returns the objects that are newer than what was seen of them.
-func (w *Watcher) news(objects []object.Object) (news []object.Object) {
+// takeNewer returns the objects that are newer than the versions seen, and records their
+// versions.
+func (w *Watcher) takeNewer(objects []object.Object) (newer []object.Object) {
 	for i := range objects {
 		o := objects[i]
 		if seen := w.seen[o.Key]; o.Version < seen || o.Version == seen && !o.Deleted {
@@ -287,10 +290,10 @@
 		}
 		if o.Deleted {
 			delete(w.seen, o.Key)
-		} else if len(w.seen) < retainSeen {
+		} else if len(w.seen) < maxSeenKeys {
 			w.seen[o.Key] = o.Version
 		}
-		news = append(news, o)
+		newer = append(newer, o)
 	}
-	return news
+	return newer
 }
--- a/internal/platform/watcher/watcher_test.go
+++ b/internal/platform/watcher/watcher_test.go
@@ -11,9 +11,9 @@
 	"brasschute/internal/platform/object"
 )
 
-// script answers each call with the next page. When there are no more, lists are as
-// the last one and watches bring nothing.
-type script struct {
+// scriptedPlatform answers each call with the next page. After the last page, lists return
+// that page again and watches return no changes.
+type scriptedPlatform struct {
 	pages []object.Page
 	errs  []error
 	lists int
@@ -22,7 +22,7 @@
 	pause time.Duration
 }
 
-func (s *script) next() (object.Page, error) {
+func (s *scriptedPlatform) next() (object.Page, error) {
 	if len(s.pages) == 0 {
 		return object.Page{}, object.ErrUnavailable
 	}
@@ -31,7 +31,7 @@
 	return p, err
 }
 
-func (s *script) List(context.Context, ...string) (object.Page, error) {
+func (s *scriptedPlatform) List(context.Context, ...string) (object.Page, error) {
 	s.lists++
 	if len(s.pages) == 0 && s.last.Revision > 0 {
 		return s.last, nil
@@ -39,7 +39,7 @@
 	return s.next()
 }
 
-func (s *script) Watch(ctx context.Context, _ uint64, wait time.Duration, _ ...string) (object.Page, error) {
+func (s *scriptedPlatform) Watch(ctx context.Context, _ uint64, wait time.Duration, _ ...string) (object.Page, error) {
 	if len(s.pages) == 0 {
 		waiter.For(ctx, wait)
 		return object.Page{}, nil
@@ -48,7 +48,7 @@
 	return s.next()
 }
 
-func (s *script) then(err error, revision uint64, objects ...object.Object) *script {
+func (s *scriptedPlatform) thenPage(err error, revision uint64, objects ...object.Object) *scriptedPlatform {
 	s.last = object.Page{Revision: revision, Objects: objects}
 	s.pages = append(s.pages, s.last)
 	s.errs = append(s.errs, err)
@@ -67,48 +67,48 @@
 	}
 }
 
-// guarded is a sink that is looked at while a watcher runs.
-type guarded struct {
-	mu     sync.Mutex
-	sink   sink
-	doubts int
+// lockedSink is a sink that may be read while a watcher runs.
+type lockedSink struct {
+	mu        sync.Mutex
+	sink      sink
+	uncertain int
 }
 
-func (g *guarded) Apply(objects []object.Object) {
+func (g *lockedSink) Apply(objects []object.Object) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.sink.Apply(objects)
 }
 
-func (g *guarded) has(key string) bool {
+func (g *lockedSink) has(key string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	_, there := g.sink[key]
 	return there
 }
 
-func (g *guarded) listed(l List) {
+func (g *lockedSink) onList(l List) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if l.Uncertain {
-		g.doubts++
+		g.uncertain++
 	}
 }
 
-// calls counts the objects of each call.
-type calls []int
+// callSizes records the number of objects of each call.
+type callSizes []int
 
-func (c *calls) Apply(objects []object.Object) { *c = append(*c, len(objects)) }
+func (c *callSizes) Apply(objects []object.Object) { *c = append(*c, len(objects)) }
 
-// A daemon told others of a list of endpoints while it was half taken in; they
-// took the highest revision for all that there was, and never asked for the
-// rest. A list, with the ends that it shows, must come in one call.
-func TestListsComeWhole(t *testing.T) {
+// If a list of endpoints were applied in several calls, a daemon could pass a partial list
+// on to its peers, which would take its highest revision as complete and never ask for the
+// rest. A list and the deletions that follow from it must be applied in one call.
+func TestListIsAppliedInOneCall(t *testing.T) {
 	at := func(key string, version uint64) object.Object { return object.Object{Key: key, Version: version} }
-	s := new(script).then(nil, 9, at("a", 9), at("b", 4), at("c", 7)).then(object.ErrGap, 0).then(nil, 12, at("a", 11))
+	s := new(scriptedPlatform).thenPage(nil, 9, at("a", 9), at("b", 4), at("c", 7)).thenPage(object.ErrGap, 0).thenPage(nil, 12, at("a", 11))
 	s.pause = 3 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		var got calls
+		var got callSizes
 		ctx, cancel := context.WithCancel(t.Context())
 		w := New(Config{Platform: s, Sink: &got, Prefixes: []string{""}})
 		go func() { _ = w.Serve(ctx) }()
@@ -122,21 +122,21 @@
 }
 
 func TestWatcherDropsOldVersions(t *testing.T) {
-	// A stale list after a gap, a repeated event, and a key that vanished
-	// while nobody watched: the sink must end with the newest of each.
+	// After a stale list, a repeated event, or a key that was deleted while the
+	// platform was not watched, the sink must hold the newest version of each object.
 	at := func(key string, version uint64) object.Object { return object.Object{Key: key, Version: version} }
 	cases := []struct {
 		name   string
-		script *script
+		script *scriptedPlatform
 		want   sink
 	}{
-		{"list", new(script).then(nil, 5, at("a", 3), at("b", 5)), sink{"a": 3, "b": 5}},
-		{"event", new(script).then(nil, 5, at("a", 3)).then(nil, 6, at("a", 6)), sink{"a": 6}},
-		{"old event", new(script).then(nil, 5, at("a", 5)).then(nil, 6, at("a", 4)), sink{"a": 5}},
-		{"stale list after a gap", new(script).then(nil, 5, at("a", 5)).then(object.ErrGap, 0).then(nil, 3, at("a", 2)), sink{"a": 5}},
-		{"vanished during a gap", new(script).then(nil, 5, at("a", 3), at("b", 5)).then(object.ErrGap, 0).then(nil, 9, at("b", 5)), sink{"b": 5}},
-		{"stale list does not remove", new(script).then(nil, 5, at("a", 5)).then(object.ErrGap, 0).then(nil, 3), sink{"a": 5}},
-		{"failures between", new(script).then(object.ErrUnavailable, 0).then(nil, 5, at("a", 5)).then(object.ErrUnavailable, 0).then(nil, 7, at("a", 7)), sink{"a": 7}},
+		{"list", new(scriptedPlatform).thenPage(nil, 5, at("a", 3), at("b", 5)), sink{"a": 3, "b": 5}},
+		{"event", new(scriptedPlatform).thenPage(nil, 5, at("a", 3)).thenPage(nil, 6, at("a", 6)), sink{"a": 6}},
+		{"old event", new(scriptedPlatform).thenPage(nil, 5, at("a", 5)).thenPage(nil, 6, at("a", 4)), sink{"a": 5}},
+		{"stale list after a gap", new(scriptedPlatform).thenPage(nil, 5, at("a", 5)).thenPage(object.ErrGap, 0).thenPage(nil, 3, at("a", 2)), sink{"a": 5}},
+		{"vanished during a gap", new(scriptedPlatform).thenPage(nil, 5, at("a", 3), at("b", 5)).thenPage(object.ErrGap, 0).thenPage(nil, 9, at("b", 5)), sink{"b": 5}},
+		{"stale list does not remove", new(scriptedPlatform).thenPage(nil, 5, at("a", 5)).thenPage(object.ErrGap, 0).thenPage(nil, 3), sink{"a": 5}},
+		{"failures between", new(scriptedPlatform).thenPage(object.ErrUnavailable, 0).thenPage(nil, 5, at("a", 5)).thenPage(object.ErrUnavailable, 0).thenPage(nil, 7, at("a", 7)), sink{"a": 7}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -161,10 +161,11 @@
 	}
 }
 
-func TestWatcherPausesGrow(t *testing.T) {
-	// During an outage the calls must become few, or healing meets a stampede.
+func TestWatcherBackoffGrows(t *testing.T) {
+	// During an outage calls must become less frequent. Otherwise the daemons of the
+	// whole fleet call at once when the platform recovers.
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{}
+		s := &scriptedPlatform{}
 		ctx, cancel := context.WithCancel(t.Context())
 		w := New(Config{Platform: s, Sink: make(sink), Prefixes: []string{""}})
 		go func() { _ = w.Serve(ctx) }()
@@ -177,14 +178,13 @@
 	})
 }
 
-// In a large fleet a daemon took an endpoint from its peers, the endpoint ended, and
-// the daemon began to follow the store itself. The list did not show the endpoint
-// any more, which it had never seen there, so it went on sending requests to it,
-// seconds after it had left. What others told must end with the list, too, unless it
-// is newer than the list.
-func TestListEndsWhatPeersTold(t *testing.T) {
+// A daemon learns an endpoint from its peers, the endpoint ends, and the daemon begins to
+// follow the store itself. The list lacks the endpoint, which the daemon has never seen in
+// the store, so it would keep sending requests to the endpoint seconds after it left. A list
+// must also remove objects learned from peers, unless they are newer than the list.
+func TestListRemovesEndpointsLearnedFromPeers(t *testing.T) {
 	at := func(key string, version uint64) object.Object { return object.Object{Key: key, Version: version} }
-	s := new(script).then(nil, 9, at("a", 9))
+	s := new(scriptedPlatform).thenPage(nil, 9, at("a", 9))
 	synctest.Test(t, func(t *testing.T) {
 		got := sink{"a": 9, "ended": 5, "newer": 11}
 		ctx, cancel := context.WithCancel(t.Context())
@@ -199,19 +199,19 @@
 	})
 }
 
-// The store is away for seconds, and the entries of all endpoints lapse, though all
-// of them live. The first list after its return is empty; two seconds later they are
-// back. A daemon that took them for ended refused every request meanwhile. One that
-// is missing from the second list, too, has ended.
-func TestLapsedEntriesAreAwaited(t *testing.T) {
+// The store is unavailable for seconds, and the entries of all endpoints lapse although
+// they are running. The first list after its return is empty; two seconds later the entries
+// are back. A daemon that removed them would refuse every request in between. An entry
+// that is also missing from the second list has ended and must be removed.
+func TestLapsedEntriesAreKeptUntilSecondList(t *testing.T) {
 	at := func(key string, version uint64) object.Object { return object.Object{Key: key, Version: version} }
-	s := new(script).then(nil, 9, at("a", 9), at("b", 8)).then(object.ErrUnavailable, 0).then(object.ErrGap, 0).
-		then(nil, 20).then(nil, 31, at("a", 30))
+	s := new(scriptedPlatform).thenPage(nil, 9, at("a", 9), at("b", 8)).thenPage(object.ErrUnavailable, 0).thenPage(object.ErrGap, 0).
+		thenPage(nil, 20).thenPage(nil, 31, at("a", 30))
 	s.pause = 300 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		got, missing := &guarded{sink: make(sink)}, 0
+		got, missing := &lockedSink{sink: make(sink)}, 0
 		ctx, cancel := context.WithCancel(t.Context())
-		w := New(Config{Platform: s, Sink: got, Prefixes: []string{""}, OnList: got.listed})
+		w := New(Config{Platform: s, Sink: got, Prefixes: []string{""}, OnList: got.onList})
 		go func() { _ = w.Serve(ctx) }()
 		for range 60 {
 			time.Sleep(100 * time.Millisecond)
@@ -222,8 +222,8 @@
 		}
 		cancel()
 		synctest.Wait()
-		if got.has("b") || got.sink["a"] != 30 || missing > 0 || got.doubts == 0 {
-			t.Errorf("in the end %v; missing in %d of 60 looks, %d doubts", got.sink, missing, got.doubts)
+		if got.has("b") || got.sink["a"] != 30 || missing > 0 || got.uncertain == 0 {
+			t.Errorf("in the end %v; missing in %d of 60 samples, %d uncertain lists", got.sink, missing, got.uncertain)
 		}
 	})
 }
