--- a/internal/config/catalog/catalog.go
+++ b/internal/config/catalog/catalog.go
@@ -227,12 +227,12 @@
 	if total == 0 {
 		return ""
 	}
-	at := int(hash % uint64(total))
+	offset := int(hash % uint64(total))
 	for _, t := range r.Targets {
-		if at < t.Weight {
+		if offset < t.Weight {
 			return t.Service
 		}
-		at -= t.Weight
+		offset -= t.Weight
 	}
 	return ""
 }
--- a/internal/config/compiler/checker.go
+++ b/internal/config/compiler/checker.go
@@ -50,18 +50,18 @@
 	seen := make(map[string]bool)
 	for i := range c.plan.Configuration.Organisations {
 		o := &c.plan.Configuration.Organisations[i]
-		at := fmt.Sprintf("Organisations[%d].", i)
-		c.checkUniqueName(seen, at+"Name", string(o.Name))
-		c.checkMin(at+"Concurrency", o.Concurrency, 1)
-		c.checkMin(at+"Queue", o.Queue, 0)
+		path := fmt.Sprintf("Organisations[%d].", i)
+		c.checkUniqueName(seen, path+"Name", string(o.Name))
+		c.checkMin(path+"Concurrency", o.Concurrency, 1)
+		c.checkMin(path+"Queue", o.Queue, 0)
 		if o.Priority != "" {
-			c.checkPriority(at+"Priority", o.Priority)
+			c.checkPriority(path+"Priority", o.Priority)
 		}
 		if len(o.KeyHashes) == 0 {
-			c.decoder.Report(at+"KeyHashes", "nothing", "at least one SHA-256 in hexadecimal")
+			c.decoder.Report(path+"KeyHashes", "nothing", "at least one SHA-256 in hexadecimal")
 		}
 		for j, hash := range o.KeyHashes {
-			c.checkKeyHash(fmt.Sprintf("%sKeyHashes[%d]", at, j), hash, o)
+			c.checkKeyHash(fmt.Sprintf("%sKeyHashes[%d]", path, j), hash, o)
 		}
 	}
 }
@@ -83,27 +83,27 @@
 	seen := make(map[string]bool)
 	for i := range c.plan.Configuration.Pools {
 		o := &c.plan.Configuration.Pools[i]
-		at := fmt.Sprintf("Pools[%d].", i)
-		c.checkUniqueName(seen, at+"Name", string(o.Name))
-		c.checkMin(at+"MaxInFlight", o.MaxInFlight, 1)
-		c.checkMin(at+"Slots", o.Slots, 0)
+		path := fmt.Sprintf("Pools[%d].", i)
+		c.checkUniqueName(seen, path+"Name", string(o.Name))
+		c.checkMin(path+"MaxInFlight", o.MaxInFlight, 1)
+		c.checkMin(path+"Slots", o.Slots, 0)
 		if o.Model != "" {
-			c.checkMin(at+"PrefillPerSecond", o.PrefillPerSecond, 1)
-			c.checkMin(at+"DecodePerSecond", o.DecodePerSecond, 1)
+			c.checkMin(path+"PrefillPerSecond", o.PrefillPerSecond, 1)
+			c.checkMin(path+"DecodePerSecond", o.DecodePerSecond, 1)
 		}
 		c.plan.pools[o.Name] = o
-		c.checkWanted(at+"Wanted", o.Wanted)
+		c.checkWanted(path+"Wanted", o.Wanted)
 	}
 }
 
 func (c *checker) checkWanted(field string, list []document.Wanted) {
 	seen := make(map[string]bool)
 	for i, w := range list {
-		at := fmt.Sprintf("%s[%d].", field, i)
-		c.checkUniqueName(seen, at+"AvailabilityZone", string(w.AvailabilityZone))
-		c.checkMin(at+"Hosts", w.Hosts, 0)
+		path := fmt.Sprintf("%s[%d].", field, i)
+		c.checkUniqueName(seen, path+"AvailabilityZone", string(w.AvailabilityZone))
+		c.checkMin(path+"Hosts", w.Hosts, 0)
 		if len(c.plan.Configuration.Prices) == 0 {
-			c.decoder.Report(at+"Hosts", "a wanted size without Prices", "Prices, so that hosts can be chosen")
+			c.decoder.Report(path+"Hosts", "a wanted size without Prices", "Prices, so that hosts can be chosen")
 		}
 	}
 }
@@ -115,15 +115,15 @@
 	seen := make(map[string]bool)
 	for i := range c.plan.Configuration.Services {
 		s := &c.plan.Configuration.Services[i]
-		at := fmt.Sprintf("Services[%d].", i)
-		c.checkUniqueName(seen, at+"Name", string(s.Name))
+		path := fmt.Sprintf("Services[%d].", i)
+		c.checkUniqueName(seen, path+"Name", string(s.Name))
 		if s.Kind != document.KindModel && s.Kind != document.KindPlain {
-			c.decoder.Report(at+"Kind", fmt.Sprintf("%q", s.Kind), "model, plain")
+			c.decoder.Report(path+"Kind", fmt.Sprintf("%q", s.Kind), "model, plain")
 		}
 		if s.Timeout <= 0 {
-			c.decoder.Report(at+"Timeout", s.Timeout.String(), "a duration above 0")
+			c.decoder.Report(path+"Timeout", s.Timeout.String(), "a duration above 0")
 		}
-		c.checkPoolReference(at+"Pool", s.Pool, s.Kind)
+		c.checkPoolReference(path+"Pool", s.Pool, s.Kind)
 		c.plan.services[s.Name] = s
 	}
 }
@@ -141,16 +141,16 @@
 
 func (c *checker) checkPrices() {
 	for i, price := range c.plan.Configuration.Prices {
-		at := fmt.Sprintf("Prices[%d].", i)
+		path := fmt.Sprintf("Prices[%d].", i)
 		if price.Class != document.ClassReclaimable && price.Class != document.ClassOnDemand {
-			c.decoder.Report(at+"Class", fmt.Sprintf("%q", price.Class), "reclaimable, on-demand")
+			c.decoder.Report(path+"Class", fmt.Sprintf("%q", price.Class), "reclaimable, on-demand")
 		}
 		if price.PerHour < 0 {
-			c.decoder.Report(at+"PerHour", fmt.Sprint(price.PerHour), "0 or more")
+			c.decoder.Report(path+"PerHour", fmt.Sprint(price.PerHour), "0 or more")
 		}
 		key := priceKey{price.AvailabilityZone, price.Class}
 		if _, twice := c.plan.prices[key]; twice {
-			c.decoder.Report(at+"AvailabilityZone", fmt.Sprintf("%s %s a second time", price.AvailabilityZone, price.Class), "each pair once")
+			c.decoder.Report(path+"AvailabilityZone", fmt.Sprintf("%s %s a second time", price.AvailabilityZone, price.Class), "each pair once")
 		}
 		c.plan.prices[key] = price.PerHour
 	}
@@ -172,15 +172,15 @@
 	unconditional := ""
 	for i := range c.plan.Configuration.Rules {
 		r := &c.plan.Configuration.Rules[i]
-		at := fmt.Sprintf("Rules[%d].", i)
-		c.checkUniqueName(names, at+"Name", r.Name)
-		c.checkAction(at+"Then.", &r.Then)
+		path := fmt.Sprintf("Rules[%d].", i)
+		c.checkUniqueName(names, path+"Name", r.Name)
+		c.checkAction(path+"Then.", &r.Then)
 		if unconditional != "" {
-			c.decoder.Report(at+"When", "a rule that is never reached, as "+unconditional+" always holds", "rules before the one that always holds")
+			c.decoder.Report(path+"When", "a rule that is never reached, as "+unconditional+" always holds", "rules before the one that always holds")
 		}
-		text := c.compileCondition(at+"When", r.When)
+		text := c.compileCondition(path+"When", r.When)
 		if earlier, twice := conditions[text]; twice && text != "" {
-			c.decoder.Report(at+"When", "the condition of "+earlier+" again, so never reached", "a condition of its own")
+			c.decoder.Report(path+"When", "the condition of "+earlier+" again, so never reached", "a condition of its own")
 		}
 		conditions[text] = r.Name
 		if text == "true" {
@@ -246,18 +246,18 @@
 	return line
 }
 
-func (c *checker) checkAction(at string, a *document.Action) {
+func (c *checker) checkAction(path string, a *document.Action) {
 	if a.Priority != "" {
-		c.checkPriority(at+"Priority", a.Priority)
+		c.checkPriority(path+"Priority", a.Priority)
 	}
 	if a.Pool != "" {
-		c.checkPoolReference(at+"Pool", a.Pool, "")
+		c.checkPoolReference(path+"Pool", a.Pool, "")
 	}
 	if a.HoldFor != "" {
-		c.checkPlainService(at+"HoldFor", a.HoldFor)
+		c.checkPlainService(path+"HoldFor", a.HoldFor)
 	}
 	if a.RetryAfter > 0 && a.Refuse == "" {
-		c.decoder.Report(at+"RetryAfter", a.RetryAfter.String(), "only beside Refuse")
+		c.decoder.Report(path+"RetryAfter", a.RetryAfter.String(), "only beside Refuse")
 	}
 }
 
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -205,13 +205,13 @@
 	}
 	names := make(map[string]bool)
 	for i, k := range s.OperatorKeys {
-		at := fmt.Sprintf("OperatorKeys[%d].", i)
+		path := fmt.Sprintf("OperatorKeys[%d].", i)
 		if k.Name == "" || names[k.Name] {
-			d.Report(at+"Name", fmt.Sprintf("%q", k.Name), "a name of its own")
+			d.Report(path+"Name", fmt.Sprintf("%q", k.Name), "a name of its own")
 		}
 		names[k.Name] = true
 		if h, err := hex.DecodeString(k.KeyHash); err != nil || len(h) != sha256Bytes {
-			d.Report(at+"KeyHash", fmt.Sprintf("%q", k.KeyHash), "a SHA-256 in hexadecimal, as 'brasschute key' prints")
+			d.Report(path+"KeyHash", fmt.Sprintf("%q", k.KeyHash), "a SHA-256 in hexadecimal, as 'brasschute key' prints")
 		}
 	}
 }
--- a/internal/engine/caller/caller.go
+++ b/internal/engine/caller/caller.go
@@ -94,8 +94,8 @@
 type Config struct {
 	// Source is the local address to connect from; nil for any.
 	Source net.Addr
-	// Transport, if not nil, is used instead of network connections, as in tests
-	// with a fake clock.
+	// Transport, if not nil, is used instead of network connections, as in
+	// experiments with a fake clock.
 	Transport http.RoundTripper
 }
 
--- a/internal/platform/cloud/cloud.go
+++ b/internal/platform/cloud/cloud.go
@@ -81,7 +81,7 @@
 }
 
 // Start starts a host, or returns the one that was already started with the same
-// token. The error wraps ErrRefused or ErrUnknown.
+// token. A failed call returns an error that wraps ErrRefused or ErrUnknown.
 func (c *Cloud) Start(ctx context.Context, s *Start) (identifier.Host, error) {
 	body, err := json.Marshal(s)
 	if err != nil {
--- a/internal/platform/object/object.go
+++ b/internal/platform/object/object.go
@@ -42,7 +42,7 @@
 
 // Object is one stored value with its version.
 type Object struct {
-	// Key is the object's kind and name, separated by a slash.
+	// Key is the object's path, such as config/main or hosts/ZONE/HOST.
 	Key string
 	// Version is the platform's revision of the last write to the object. It
 	// increases over all objects, so it also orders writes to different keys.
