--- a/internal/core/bootclock/bootclock.go
+++ b/internal/core/bootclock/bootclock.go
@@ -1,16 +1,13 @@
-// Package uptimer reads a clock that goes on while the host is suspended.
+// Package bootclock reads a monotonic clock that advances while the host is suspended.
 //
-// # Why not the runtime's clock
-//
-// The runtime's monotonic clock stands still while a host is suspended. A
-// holder of a lease that wakes up after minutes would believe, by that clock,
-// that no time has passed, and act beside its successor. The boot-time clock
-// counts suspension and never jumps.
+// The runtime's monotonic clock stops while a host is suspended. A lease holder that resumes
+// after minutes would see no time passed on it and act concurrently with its successor.
+// CLOCK_BOOTTIME includes the time of suspension and never jumps.
 //
 // # Usage
 //
-//	now := uptimer.Now()
-//	if uptimer.Now().Before(until) { ... }
+//	until := bootclock.Now().Add(lease)
+//	if bootclock.Now().Before(until) { ... }
 package bootclock
 
 import (
@@ -19,9 +16,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the host's start, as a time that only compares
-// with others of this package. Where the boot-time clock can't be read it falls
-// back to the runtime's.
+// Now returns the time since the host booted, as a time that can be compared only with other
+// results of Now. If CLOCK_BOOTTIME can't be read, it falls back to the runtime's monotonic
+// clock.
 func Now() time.Time {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/core/chronometer/chronometer.go
+++ b/internal/core/chronometer/chronometer.go
@@ -1,18 +1,16 @@
-// Package chronometer estimates the true time though clocks jump.
+// Package chronometer estimates the true time on hosts whose wall clocks may jump.
 //
-// # How
-//
-// The wall clock is read once, at the start; from then on the estimate follows
-// the boot-time clock, which neither jumps nor stops. A process that started
-// while its wall clock was off would stay wrong, so each message of a peer
-// brings the peer's estimate, and the median of all is taken once it differs
-// from the own by more than [tolerance]. As long as fewer than half of the
-// daemons started with a wrong clock, the median is right.
+// The wall clock is read once, at the start; from then on the estimate follows the boot-time
+// clock, which neither jumps nor stops. The estimate of a process that started while its wall
+// clock was wrong would stay wrong. Each message from a peer therefore carries the peer's
+// estimate, and the median of all estimates is adopted when it differs from the local one by
+// more than 300 ms. The median is right as long as fewer than half of the daemons started with
+// a wrong clock.
 //
 // # Usage
 //
 //	c := chronometer.New(chronometer.Config{})
-//	c.Heard("peer-1", theirUnixMilli)
+//	c.Observe("peer-1", time.UnixMilli(theirUnixMilli))
 //	window := c.Now().Unix() / 5
 package chronometer
 
@@ -21,27 +19,29 @@
 	"sync"
 	"time"
 
-	"brasschute/internal/core/identifier"
 	"brasschute/internal/core/bootclock"
+	"brasschute/internal/core/identifier"
 )
 
 const (
-	// tolerance is well above the way of a message and the usual difference
-	// between hosts' clocks (milliseconds), and well below the jumps (seconds).
+	// tolerance is well above the network delay of a message and the usual difference between
+	// hosts' clocks (milliseconds), and well below the size of a jump (seconds).
 	tolerance = 300 * time.Millisecond
-	// leastPeers is how many estimates a median needs.
-	leastPeers = 2
-	// memory is how long a peer's estimate counts.
-	memory = 30 * time.Second
+	// minPeers is the number of peers whose estimates are needed for a median.
+	minPeers = 2
+	// sampleLifetime is how long a peer's estimate is used.
+	sampleLifetime = 30 * time.Second
 )
 
-// Config names the clocks; tests replace them.
+// Config holds the clocks, which tests replace.
 type Config struct {
-	// Wall is read once; time.Now if nil. Steady is uptimer.Now if nil.
-	Wall   func() time.Time
+	// Wall is read once, by New. The default is time.Now.
+	Wall func() time.Time
+	// Monotonic measures the time since New. The default is bootclock.Now.
 	Monotonic func() time.Time
 }
 
+// sample is a peer's estimate minus the local one, and when it was received.
 type sample struct {
 	offset time.Duration
 	at     time.Time
@@ -49,15 +49,15 @@
 
 // Chronometer estimates the true time. It is safe for concurrent use.
 type Chronometer struct {
-	steady func() time.Time
+	monotonic func() time.Time
 
-	mu   sync.Mutex
-	wall time.Time
-	base time.Time
-	seen map[identifier.Host]sample
+	mu      sync.Mutex
+	wall    time.Time
+	base    time.Time
+	samples map[identifier.Host]sample
 }
 
-// New reads the wall clock.
+// New returns a chronometer that starts at the wall clock's time.
 func New(c Config) *Chronometer {
 	if c.Wall == nil {
 		c.Wall = time.Now
@@ -65,33 +65,34 @@
 	if c.Monotonic == nil {
 		c.Monotonic = bootclock.Now
 	}
-	return &Chronometer{steady: c.Monotonic, wall: c.Wall().Round(0), base: c.Monotonic(), seen: make(map[identifier.Host]sample)}
+	return &Chronometer{monotonic: c.Monotonic, wall: c.Wall().Round(0), base: c.Monotonic(), samples: make(map[identifier.Host]sample)}
 }
 
-// Now returns the estimate.
+// Now returns the estimated time.
 func (c *Chronometer) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now()
 }
 
-func (c *Chronometer) now() time.Time { return c.wall.Add(c.steady().Sub(c.base)) }
+func (c *Chronometer) now() time.Time { return c.wall.Add(c.monotonic().Sub(c.base)) }
 
-// Observe takes in a peer's estimate at this moment.
+// Observe records a peer's current estimate and adjusts the local one to the median if it is off
+// by more than the tolerance.
 func (c *Chronometer) Observe(peer identifier.Host, theirs time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := c.steady()
-	c.seen[peer] = sample{offset: theirs.Sub(c.now()), at: now}
+	now := c.monotonic()
+	c.samples[peer] = sample{offset: theirs.Sub(c.now()), at: now}
 	offsets := []time.Duration{0}
-	for host, s := range c.seen {
-		if now.Sub(s.at) > memory {
-			delete(c.seen, host)
+	for host, s := range c.samples {
+		if now.Sub(s.at) > sampleLifetime {
+			delete(c.samples, host)
 			continue
 		}
 		offsets = append(offsets, s.offset)
 	}
-	if len(offsets) <= leastPeers {
+	if len(offsets) <= minPeers {
 		return
 	}
 	slices.Sort(offsets)
@@ -100,8 +101,8 @@
 		return
 	}
 	c.wall = c.wall.Add(median)
-	for host, s := range c.seen {
+	for host, s := range c.samples {
 		s.offset -= median
-		c.seen[host] = s
+		c.samples[host] = s
 	}
 }
--- a/internal/core/compressor/compressor.go
+++ b/internal/core/compressor/compressor.go
@@ -1,14 +1,14 @@
-// Package packer compresses messages that go over narrow links.
+// Package compressor compresses messages that go over slow links.
 //
-// A configuration of 1,079 KB is 66 KB when packed, as its routes differ in a few names
-// only; that takes 1.1 ms of a processor core, and saves 0.81 s of a link of 10 Mbit/s
-// (BenchmarkPack).
+// A configuration of 1,079 KB compresses to 66 KB, as its routes differ only in a few names.
+// That takes 1.1 ms of one processor core and saves 0.81 s of a 10 Mbit/s link
+// (BenchmarkCompress).
 //
 // # Usage
 //
-//	var p packer.Packer
-//	packed, err := p.Pack(message)
-//	message, err = p.Unpack(packed)
+//	var c compressor.Compressor
+//	compressed, err := c.Compress(message)
+//	message, err = c.Decompress(compressed)
 package compressor
 
 import (
@@ -18,12 +18,12 @@
 	"github.com/klauspost/compress/zstd"
 )
 
-// maxUnpacked bounds a message: some thirty of the largest objects that the platform
-// stores (1 MB). A spoilt message must not take a small host's memory.
-const maxUnpacked = 32 << 20
+// maxDecompressedBytes is about thirty times the largest object that the platform stores (1 MB).
+// The bound keeps a corrupt message from exhausting the memory of a small host.
+const maxDecompressedBytes = 32 << 20
 
-// Compressor packs and unpacks. The zero value is ready; it is safe for concurrent use, and
-// keeps its memory for the next message.
+// Compressor compresses and decompresses messages with zstd and reuses its buffers. The zero
+// value is ready for use. It is safe for concurrent use.
 type Compressor struct {
 	once    sync.Once
 	err     error
@@ -31,37 +31,37 @@
 	decoder *zstd.Decoder
 }
 
-func (p *Compressor) open() error {
-	p.once.Do(func() {
-		p.encoder, p.err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
-		if p.err != nil {
+func (c *Compressor) init() error {
+	c.once.Do(func() {
+		c.encoder, c.err = zstd.NewWriter(nil, zstd.WithEncoderLevel(zstd.SpeedFastest), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true))
+		if c.err != nil {
 			return
 		}
-		p.decoder, p.err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpacked))
+		c.decoder, c.err = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxDecompressedBytes))
 	})
-	if p.err != nil {
-		return fmt.Errorf("packer: %w", p.err)
+	if c.err != nil {
+		return fmt.Errorf("compressor: %w", c.err)
 	}
 	return nil
 }
 
-// Compress returns a message in packed form.
-func (p *Compressor) Compress(message []byte) ([]byte, error) {
-	if err := p.open(); err != nil {
+// Compress returns the compressed message.
+func (c *Compressor) Compress(message []byte) ([]byte, error) {
+	if err := c.init(); err != nil {
 		return nil, err
 	}
-	return p.encoder.EncodeAll(message, nil), nil
+	return c.encoder.EncodeAll(message, nil), nil
 }
 
-// Decompress returns a packed message. It fails where the bytes are damaged, which a
-// checksum shows, or the message is larger than a daemon takes.
-func (p *Compressor) Decompress(packed []byte) ([]byte, error) {
-	if err := p.open(); err != nil {
+// Decompress returns the original message. It fails if the input is corrupt, which its checksum
+// shows, or if the message is larger than maxDecompressedBytes.
+func (c *Compressor) Decompress(compressed []byte) ([]byte, error) {
+	if err := c.init(); err != nil {
 		return nil, err
 	}
-	message, err := p.decoder.DecodeAll(packed, nil)
+	message, err := c.decoder.DecodeAll(compressed, nil)
 	if err != nil {
-		return nil, fmt.Errorf("packer: %w", err)
+		return nil, fmt.Errorf("compressor: %w", err)
 	}
 	return message, nil
 }
--- a/internal/core/compressor/compressor_test.go
+++ b/internal/core/compressor/compressor_test.go
@@ -9,51 +9,51 @@
 	"pgregory.net/rapid"
 )
 
-func TestMessagesComeBack(t *testing.T) {
-	var p Compressor
+func TestRoundTrip(t *testing.T) {
+	var c Compressor
 	rapid.Check(t, func(t *rapid.T) {
 		message := rapid.SliceOf(rapid.Byte()).Draw(t, "message")
-		packed, err := p.Compress(message)
+		compressed, err := c.Compress(message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		back, err := p.Decompress(packed)
+		back, err := c.Decompress(compressed)
 		if err != nil || !bytes.Equal(back, message) {
-			t.Fatalf("%d bytes, back %d, error %v", len(message), len(back), err)
+			t.Fatalf("%d bytes compressed, %d decompressed, error %v", len(message), len(back), err)
 		}
 	})
 }
 
-func TestDamagedMessagesAreRefused(t *testing.T) {
-	var p Compressor
-	packed, err := p.Compress(configuration(100))
+func TestDamagedMessages(t *testing.T) {
+	var c Compressor
+	compressed, err := c.Compress(configuration(100))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, spoilt := range map[string][]byte{
-		"cut":     packed[:len(packed)/2],
-		"changed": append(append([]byte{}, packed[:len(packed)-40]...), bytes.Repeat([]byte{7}, 40)...),
-		"text":    []byte("not packed at all"),
+	for name, corrupt := range map[string][]byte{
+		"cut":     compressed[:len(compressed)/2],
+		"changed": append(append([]byte{}, compressed[:len(compressed)-40]...), bytes.Repeat([]byte{7}, 40)...),
+		"text":    []byte("not compressed at all"),
 	} {
-		if back, err := p.Decompress(spoilt); err == nil {
-			t.Errorf("%s: taken for a message of %d bytes", name, len(back))
+		if back, err := c.Decompress(corrupt); err == nil {
+			t.Errorf("%s: decompressed to %d bytes", name, len(back))
 		}
 	}
 }
 
-// A few bytes may stand for a message that would fill a host's memory.
-func TestHugeMessagesAreRefused(t *testing.T) {
-	var p Compressor
-	packed, err := p.Compress(make([]byte, maxUnpacked+1))
+// A few compressed bytes may expand to a message that fills a host's memory.
+func TestOversizedMessage(t *testing.T) {
+	var c Compressor
+	compressed, err := c.Compress(make([]byte, maxDecompressedBytes+1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := p.Decompress(packed); err == nil {
-		t.Errorf("%d bytes were unpacked to over %d", len(packed), maxUnpacked)
+	if _, err := c.Decompress(compressed); err == nil {
+		t.Errorf("%d bytes were decompressed to more than %d", len(compressed), maxDecompressedBytes)
 	}
 }
 
-// configuration is one of n routes, as operators write it.
+// configuration returns a configuration of n routes in the form in which operators write it.
 func configuration(n int) []byte {
 	random := rand.New(rand.NewPCG(1, 2))
 	var b bytes.Buffer
@@ -65,17 +65,17 @@
 	return b.Bytes()
 }
 
-// BenchmarkPack packs a configuration of 4,250 routes.
-func BenchmarkPack(b *testing.B) {
-	var p Compressor
+// BenchmarkCompress compresses a configuration of 4,250 routes.
+func BenchmarkCompress(b *testing.B) {
+	var c Compressor
 	message := configuration(4250)
 	b.SetBytes(int64(len(message)))
 	b.ReportAllocs()
 	for b.Loop() {
-		packed, err := p.Compress(message)
+		compressed, err := c.Compress(message)
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(float64(len(packed)), "packed-bytes")
+		b.ReportMetric(float64(len(compressed)), "packed-bytes")
 	}
 }
--- a/internal/core/quantity/quantity.go
+++ b/internal/core/quantity/quantity.go
@@ -1,11 +1,10 @@
-// Package quantity parses the measures that people write in settings.
+// Package quantity parses durations in settings files.
 //
-// # Usage
+// A [Duration] has the text form of [time.ParseDuration], which requires a unit: "250ms" is
+// valid, "250" is an error. A bare number of unknown unit is the most common mistake in
+// settings files, and the type exists to reject it.
 //
-// A [Duration] reads and writes the form of [time.ParseDuration], which
-// demands a unit: "250ms" is valid and "250" is an error. That error is the
-// point of the type, because a bare number of unknown unit is the commonest
-// mistake in a settings file.
+// # Usage
 //
 //	var d quantity.Duration
 //	err := d.UnmarshalText([]byte("250ms"))
@@ -17,7 +16,7 @@
 	"time"
 )
 
-// Duration is a non-negative span of time, written with its unit.
+// Duration is a non-negative duration whose text form includes the unit.
 type Duration time.Duration
 
 var (
@@ -25,17 +24,17 @@
 	_ encoding.TextMarshaler   = Duration(0)
 )
 
-// Std returns d as the standard library's type.
+// Std returns d as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// String formats d with its unit.
+// String returns d with its unit, as in "1m30s".
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// MarshalText writes d with its unit.
+// MarshalText implements [encoding.TextMarshaler]. The result includes the unit.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// UnmarshalText reads a duration with unit. Negative spans and bare numbers
-// are errors.
+// UnmarshalText implements [encoding.TextUnmarshaler]. Negative durations and numbers without
+// a unit are errors.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/internal/core/retryparser/retryparser.go
+++ b/internal/core/retryparser/retryparser.go
@@ -1,9 +1,12 @@
-// Package delayer reads for how long a server wants nothing, as it says with an answer that
-// turns a call away (RFC 9110, section 10.2.3).
+// Package retryparser parses the Retry-After header of a response that turns a request away
+// (RFC 9110, section 10.2.3).
 //
 // # Usage
 //
-//	if d := delayer.Decode(resp.StatusCode, resp.Header); d > 0 { leave it alone }
+//	backoff := retryparser.Parse(resp.StatusCode, resp.Header)
+//	if backoff > 0 {
+//		// don't send requests to this server until the backoff has passed
+//	}
 package retryparser
 
 import (
@@ -14,16 +17,17 @@
 	"time"
 )
 
-// MaxDelay bounds the time that a server may want nothing: a mistake in a header must not take
-// it out of use for days.
+// MaxDelay bounds a server's backoff, so that a wrong header can't take the server out of use
+// for days.
 const MaxDelay = time.Hour
 
-const header = "Retry-After"
+const headerRetryAfter = "Retry-After"
 
-// Parse reads seconds, fractions too, or a date, from an answer with status 429 or 503. It
-// returns 0 where none is said, or what is said can't be read.
+// Parse returns the delay that a response with status 429 or 503 asks for, at most MaxDelay. The
+// header holds a date or a number of seconds, which may have a fraction. Parse returns 0 for
+// other statuses and for a missing, repeated or invalid header.
 func Parse(status int, h http.Header) time.Duration {
-	values := h.Values(header)
+	values := h.Values(headerRetryAfter)
 	if status != http.StatusServiceUnavailable && status != http.StatusTooManyRequests || len(values) != 1 {
 		return 0
 	}
--- a/internal/core/retryparser/retryparser_test.go
+++ b/internal/core/retryparser/retryparser_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// What an endpoint says of its rest, and what says nothing.
-func TestDecode(t *testing.T) {
+// Valid headers give a bounded delay; invalid headers and other statuses give none.
+func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		values []string
@@ -28,13 +28,13 @@
 		{http.StatusOK, []string{"3"}, 0},
 		{http.StatusInternalServerError, []string{"3"}, 0},
 	} {
-		if got := Parse(c.status, http.Header{header: c.values}); got != c.want {
+		if got := Parse(c.status, http.Header{headerRetryAfter: c.values}); got != c.want {
 			t.Errorf("%d %q: %v, want %v", c.status, c.values, got, c.want)
 		}
 	}
 	at := time.Now().Add(time.Minute).UTC().Format(http.TimeFormat)
-	got := Parse(http.StatusServiceUnavailable, http.Header{header: {at}})
+	got := Parse(http.StatusServiceUnavailable, http.Header{headerRetryAfter: {at}})
 	if got <= 50*time.Second || got > time.Minute {
-		t.Errorf("a date in a minute: %v", got)
+		t.Errorf("date one minute ahead: %v", got)
 	}
 }
--- a/internal/core/waiter/waiter.go
+++ b/internal/core/waiter/waiter.go
@@ -1,11 +1,11 @@
-// Package waiter holds the two ways in which services wait.
+// Package waiter provides waits that end with a context.
 //
 // # Usage
 //
 //	if !waiter.For(ctx, pause) { return ctx.Err() }
-//	return waiter.Every(ctx, period, s.round) // the Serve of a periodic service
+//	return waiter.Every(ctx, period, s.round) // the Serve method of a periodic service
 //
-// Time is the runtime's clock, which tests pause with testing/synctest.
+// Both functions use the runtime's clock, so tests can control time with testing/synctest.
 package waiter
 
 import (
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// For waits for a time and reports true, or false if ctx ends first.
+// For waits for d and reports true, or returns false early if ctx ends.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -25,8 +25,8 @@
 	}
 }
 
-// Every calls f once a period until ctx ends, and returns its error. A call
-// that lasts longer than the period makes the next one late, never double.
+// Every calls f once per period until ctx ends, and returns the error of ctx. Calls never
+// overlap: a call that takes longer than the period delays the next one.
 func Every(ctx context.Context, period time.Duration, f func(context.Context)) error {
 	tick := time.NewTicker(period)
 	defer tick.Stop()
--- a/internal/core/watchdog/watchdog_test.go
+++ b/internal/core/watchdog/watchdog_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// transport answers after a delay, with one byte of the body in each pause.
+// transport responds after a delay, with a body that returns one byte after each pause.
 type transport struct {
 	first, pause time.Duration
 	bytes        int
@@ -23,16 +23,17 @@
 		return nil, r.Context().Err()
 	case <-time.After(t.first):
 	}
-	return &http.Response{StatusCode: http.StatusOK, Body: &drip{ctx: r.Context(), pause: t.pause, left: t.bytes}}, nil
+	return &http.Response{StatusCode: http.StatusOK, Body: &slowBody{ctx: r.Context(), pause: t.pause, left: t.bytes}}, nil
 }
 
-type drip struct {
+// slowBody returns single bytes with a pause before each.
+type slowBody struct {
 	ctx   context.Context
 	pause time.Duration
 	left  int
 }
 
-func (d *drip) Read(p []byte) (int, error) {
+func (d *slowBody) Read(p []byte) (int, error) {
 	if d.left == 0 {
 		return 0, io.EOF
 	}
@@ -46,22 +47,24 @@
 	return 1, nil
 }
 
-func (d *drip) Close() error { return nil }
+func (d *slowBody) Close() error { return nil }
 
-func TestCallsAreGivenUpInSilenceOnly(t *testing.T) {
+// A call times out only if no data arrives for the idle timeout, however long the response
+// takes in total.
+func TestIdleTimeout(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		t      transport
-		wait   time.Duration
-		silent bool
+		name     string
+		t        transport
+		wait     time.Duration
+		timesOut bool
 	}{
-		{"at once", transport{bytes: 3}, 0, false},
-		{"slow, but something comes", transport{first: 900 * time.Millisecond, pause: 900 * time.Millisecond, bytes: 100}, 0, false},
-		{"no answer", transport{first: time.Hour}, 0, true},
-		{"an answer after its wait", transport{first: 30 * time.Second, bytes: 1}, 30 * time.Second, false},
-		{"no answer after its wait", transport{first: time.Hour}, 30 * time.Second, true},
-		{"silence within the body", transport{pause: 2 * time.Second, bytes: 2}, 0, true},
-		{"silence within the body after a wait", transport{first: time.Second, pause: 2 * time.Second, bytes: 2}, 30 * time.Second, true},
+		{"immediate response", transport{bytes: 3}, 0, false},
+		{"slow but steady response", transport{first: 900 * time.Millisecond, pause: 900 * time.Millisecond, bytes: 100}, 0, false},
+		{"no response", transport{first: time.Hour}, 0, true},
+		{"response after the wait", transport{first: 30 * time.Second, bytes: 1}, 30 * time.Second, false},
+		{"no response after the wait", transport{first: time.Hour}, 30 * time.Second, true},
+		{"stalled body", transport{pause: 2 * time.Second, bytes: 2}, 0, true},
+		{"stalled body after a wait", transport{first: time.Second, pause: 2 * time.Second, bytes: 2}, 30 * time.Second, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -72,11 +75,11 @@
 				}
 				began := time.Now()
 				text, err := read(w, r, c.wait)
-				if errors.Is(err, ErrIdleTimeout) != c.silent || !c.silent && (err != nil || text != strings.Repeat("x", c.t.bytes)) {
-					t.Errorf("%q, error %v, silent expected: %v", text, err, c.silent)
+				if errors.Is(err, ErrIdleTimeout) != c.timesOut || !c.timesOut && (err != nil || text != strings.Repeat("x", c.t.bytes)) {
+					t.Errorf("body %q, error %v, want idle timeout: %v", text, err, c.timesOut)
 				}
-				if took := time.Since(began); c.silent && took > c.wait+c.t.pause+2*time.Second {
-					t.Errorf("given up after %v", took)
+				if took := time.Since(began); c.timesOut && took > c.wait+c.t.pause+2*time.Second {
+					t.Errorf("timed out after %v", took)
 				}
 			})
 		})
@@ -93,8 +96,8 @@
 	return string(raw), err
 }
 
-// A caller that gives up by itself is not told that the server was silent.
-func TestCallersOwnEndIsNotSilence(t *testing.T) {
+// If the caller's own deadline ends the call, the error is that deadline and not ErrIdleTimeout.
+func TestCallerDeadlineIsNotIdleTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		defer cancel()
@@ -104,7 +107,7 @@
 		}
 		_, err = read(New(Config{Transport: transport{first: time.Hour}, IdleTimeout: time.Second}), r, 0)
 		if errors.Is(err, ErrIdleTimeout) || !errors.Is(err, context.DeadlineExceeded) {
-			t.Errorf("error %v, the caller's deadline is expected", err)
+			t.Errorf("error %v, want the caller's deadline", err)
 		}
 	})
 }
