--- a/internal/fault/injector/injector.go
+++ b/internal/fault/injector/injector.go
@@ -1,19 +1,17 @@
-// Package injector is a TCP proxy that makes connections fail on purpose.
+// Package injector provides a TCP proxy that injects network faults.
 //
-// # Where it stands
+// A proxy listens on one address and forwards connections to one target. It identifies callers
+// by source address, so a [Fault] can apply to one caller, to the network of one availability
+// zone, or to all. This works because daemons connect from the address they were given.
 //
-// Between any two processes: it is given a target and listens for it. Who
-// calls is told by the source address, so that a [Fault] can hold for one
-// caller, for one availability zone's network, or for all: daemons connect
-// from the address they were given.
+// The faults:
 //
-// # Faults
+//   - Cut refuses new connections and resets open ones.
+//   - Freeze keeps connections open but forwards nothing.
+//   - LoseAnswers forwards the whole request and resets the connection when the response begins.
+//   - DropAfter resets the connection in the middle of a response.
 //
-// A cut refuses new connections and breaks open ones. A freeze keeps them
-// open and moves nothing. A lost answer lets the request through whole and
-// breaks the connection where the answer begins. A drop breaks it within the
-// answer. A one-way cut needs nothing special, as each process has its own
-// proxy.
+// A one-way partition needs no fault of its own, because each process has its own proxy.
 //
 // # Usage
 //
@@ -30,91 +28,95 @@
 	"time"
 )
 
-// All is the rule that holds where no narrower one does.
+// All is the prefix of the rule for callers that no longer prefix matches.
 const All = "0.0.0.0/0"
 
-const bufferBytes = 32 << 10
+const copyBufferBytes = 32 << 10
 
-// Config names both ends.
+// Config holds the addresses of the proxy, as IP:port.
 type Config struct {
 	Listen string
 	Target string
 }
 
-// Fault is what happens to connections. The zero value is none.
+// Fault describes what happens to connections. The zero value is no fault.
 type Fault struct {
-	Cut         bool
-	Freeze      bool
+	// Cut refuses new connections and resets open ones.
+	Cut bool
+	// Freeze keeps connections open but forwards nothing.
+	Freeze bool
+	// LoseAnswers resets a connection when the response begins.
 	LoseAnswers bool
-	// Delay holds each piece of data up, in either direction.
+	// Delay is added to each chunk of data, in either direction.
 	Delay time.Duration
-	// DropAfter breaks a connection after so many bytes of answers; 0 never.
+	// DropAfter resets a connection after that many bytes of responses, or never if 0.
 	DropAfter int64
 }
 
-// Injector is one proxy. Use New.
+// Injector is a proxy for one target. It is safe for concurrent use. Create it with New.
 type Injector struct {
-	target string
-	l      net.Listener
+	target   string
+	listener net.Listener
 
-	mu      sync.Mutex
-	changed *sync.Cond
-	rules   map[netip.Prefix]Fault
-	links   map[*link]bool
-	closed  bool
+	mu           sync.Mutex
+	rulesChanged *sync.Cond
+	rules        map[netip.Prefix]Fault
+	connections  map[*connection]bool
+	closed       bool
 }
 
-// link is one connection through the proxy.
-type link struct {
-	source   netip.Addr
-	caller   net.Conn
-	target   net.Conn
-	answered int64
+// connection is a proxied connection: one to the client and one to the target.
+type connection struct {
+	source      netip.Addr
+	client      net.Conn
+	target      net.Conn
+	answerBytes int64
 }
 
-// New starts a proxy.
+// New starts a proxy. It fails if the proxy can't listen.
 func New(c Config) (*Injector, error) {
 	l, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("injector: %w", err)
 	}
-	p := &Injector{target: c.Target, l: l, rules: make(map[netip.Prefix]Fault), links: make(map[*link]bool)}
-	p.changed = sync.NewCond(&p.mu)
-	go p.accept()
+	p := &Injector{target: c.Target, listener: l, rules: make(map[netip.Prefix]Fault), connections: make(map[*connection]bool)}
+	p.rulesChanged = sync.NewCond(&p.mu)
+	go p.acceptLoop()
 	return p, nil
 }
 
-// Address returns where the proxy listens.
-func (p *Injector) Address() string { return p.l.Addr().String() }
+// Address returns the address that the proxy listens on, as IP:port.
+func (p *Injector) Address() string { return p.listener.Addr().String() }
 
-// Set puts a fault in force for callers from a prefix. Open connections feel
-// it at once.
+// Set sets the fault for callers whose source address is in a prefix. It applies to open
+// connections, too. Set panics if the prefix is invalid.
 func (p *Injector) Set(prefix string, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.rules[netip.MustParsePrefix(prefix)] = f
-	for k := range p.links {
-		if p.fault(k.source).Cut {
+	for k := range p.connections {
+		if p.faultFor(k.source).Cut {
 			k.close()
 		}
 	}
-	p.changed.Broadcast()
+	p.rulesChanged.Broadcast()
 }
 
-// Close ends the proxy and its connections.
+// Close stops the proxy and resets its connections.
 func (p *Injector) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	p.l.Close()
-	for k := range p.links {
+	p.listener.Close()
+	for k := range p.connections {
 		k.close()
 	}
-	p.changed.Broadcast()
+	p.rulesChanged.Broadcast()
 }
 
-// fault returns the narrowest rule for a source. The caller holds the lock.
-func (p *Injector) fault(source netip.Addr) Fault {
+// faultFor returns the fault of the longest prefix that contains the source. The caller must
+// hold p.mu.
+func (p *Injector) faultFor(source netip.Addr) Fault {
 	best := -1
 	var f Fault
 	for prefix, rule := range p.rules {
@@ -126,23 +128,24 @@
 	return f
 }
 
-func (p *Injector) accept() {
+func (p *Injector) acceptLoop() {
 	for {
-		c, err := p.l.Accept()
+		c, err := p.listener.Accept()
 		if err != nil {
 			return
 		}
-		go p.connect(c)
+		go p.handle(c)
 	}
 }
 
-func (p *Injector) connect(c net.Conn) {
-	k := &link{source: c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr(), caller: c}
-	if !p.enter(k) {
+// handle connects a client to the target and forwards data until the connection ends.
+func (p *Injector) handle(c net.Conn) {
+	k := &connection{source: c.RemoteAddr().(*net.TCPAddr).AddrPort().Addr(), client: c}
+	if !p.register(k) {
 		reset(c)
 		return
 	}
-	defer p.leave(k)
+	defer p.unregister(k)
 	target, err := net.Dial("tcp", p.target)
 	if err != nil {
 		reset(c)
@@ -157,32 +160,33 @@
 	group.Wait()
 }
 
-func (p *Injector) enter(k *link) bool {
+// register adds a connection, unless the proxy is closed or the caller is cut.
+func (p *Injector) register(k *connection) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.fault(k.source).Cut {
+	if p.closed || p.faultFor(k.source).Cut {
 		return false
 	}
-	p.links[k] = true
+	p.connections[k] = true
 	return true
 }
 
-func (p *Injector) leave(k *link) {
+func (p *Injector) unregister(k *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.links, k)
+	delete(p.connections, k)
 	k.close()
 }
 
-// close breaks both ends. The caller holds the lock.
-func (k *link) close() {
-	reset(k.caller)
+// close resets both ends. The caller must hold Injector.mu.
+func (k *connection) close() {
+	reset(k.client)
 	if k.target != nil {
 		reset(k.target)
 	}
 }
 
-// reset closes at once, with a reset rather than an orderly end.
+// reset closes a connection with a TCP reset instead of an orderly close.
 func reset(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -190,16 +194,16 @@
 	c.Close()
 }
 
-// copy moves data one way until an end closes or a fault breaks the link.
-func (p *Injector) copy(k *link, from, to net.Conn, answer bool) {
-	buffer := make([]byte, bufferBytes)
+// copy forwards data in one direction until an end closes or a fault resets the connection.
+func (p *Injector) copy(k *connection, from, to net.Conn, answer bool) {
+	buffer := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buffer)
-		if n > 0 && !p.pass(k, to, buffer[:n], answer) {
+		if n > 0 && !p.forward(k, to, buffer[:n], answer) {
 			break
 		}
 		if err != nil {
-			p.end(to)
+			p.closeWrite(to)
 			return
 		}
 	}
@@ -208,40 +212,42 @@
 	k.close()
 }
 
-// end passes an orderly close on.
-func (p *Injector) end(to net.Conn) {
+// closeWrite forwards an orderly close to the other end.
+func (p *Injector) closeWrite(to net.Conn) {
 	if t, ok := to.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
 }
 
-func (p *Injector) pass(k *link, to net.Conn, data []byte, answer bool) bool {
-	f := p.await(k)
+// forward writes one chunk of data, subject to the current fault. It reports false if the
+// connection must be reset.
+func (p *Injector) forward(k *connection, to net.Conn, data []byte, answer bool) bool {
+	f := p.waitWhileFrozen(k)
 	if f.Cut || answer && f.LoseAnswers {
 		return false
 	}
 	if f.Delay > 0 {
 		time.Sleep(f.Delay)
 	}
-	if answer && f.DropAfter > 0 && k.answered+int64(len(data)) > f.DropAfter {
-		_, _ = to.Write(data[:max(f.DropAfter-k.answered, 0)])
+	if answer && f.DropAfter > 0 && k.answerBytes+int64(len(data)) > f.DropAfter {
+		_, _ = to.Write(data[:max(f.DropAfter-k.answerBytes, 0)])
 		return false
 	}
 	if answer {
-		k.answered += int64(len(data))
+		k.answerBytes += int64(len(data))
 	}
 	_, err := to.Write(data)
 	return err == nil
 }
 
-// await returns the fault in force, after any freeze.
-func (p *Injector) await(k *link) Fault {
+// waitWhileFrozen waits until the connection isn't frozen and returns the current fault.
+func (p *Injector) waitWhileFrozen(k *connection) Fault {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	f := p.fault(k.source)
-	for f.Freeze && !p.closed && p.links[k] {
-		p.changed.Wait()
-		f = p.fault(k.source)
+	f := p.faultFor(k.source)
+	for f.Freeze && !p.closed && p.connections[k] {
+		p.rulesChanged.Wait()
+		f = p.faultFor(k.source)
 	}
 	return f
 }
--- a/internal/fault/shaper/shaper.go
+++ b/internal/fault/shaper/shaper.go
@@ -1,24 +1,19 @@
-// Package shaper is a network in memory whose hosts have links of limited bandwidth.
+// Package shaper provides an in-memory network whose hosts have links of limited bandwidth.
 //
-// # What it is for
+// Faults caused by saturated links don't occur on a loopback interface, and a proxy that slows
+// down real connections takes real time. Connections of a [Shaper] are in-memory pipes. Their
+// segments are sent one after another, and each occupies the sender's and the receiver's link
+// for its transmission time, by the runtime's clock. In a test with a fake clock (testing/synctest), a fleet of sixty hosts
+// behind slow links takes no real time and its timing is the same on every machine.
 //
-// Faults that come from full links do not show on a loopback interface, and a proxy
-// that slows real connections down takes real time. Connections of a [Shaper] are
-// pipes; each segment takes its time on the sender's and on the receiver's link, one
-// after the other, by the runtime's clock. In a test with a paused clock a fleet of
-// sixty hosts behind narrow links costs no waiting, and its times are the same on
-// every machine.
-//
-// # Fairness
-//
-// A writer takes a link for one segment at a time, so connections that share a link
-// share it evenly, as with TCP. There is no loss and no buffer: who does not read
-// holds up the writer.
+// A writer occupies a link for one segment at a time, so connections that share a link get equal
+// shares of it, as with TCP. There is no packet loss and no buffering: a reader that doesn't
+// read blocks the writer.
 //
 // # Usage
 //
 //	n := shaper.New(shaper.Config{Delay: time.Millisecond})
-//	h := n.Host(1.25e6) // bytes a second, each way
+//	h := n.Host(1.25e6) // bytes per second in each direction
 //	l, err := h.Listen(address)
 //	c, err := other.DialContext(ctx, "tcp", address.String())
 package shaper
@@ -34,20 +29,20 @@
 )
 
 const (
-	// segment is what a connection sends before others get their turn: some ten
-	// packets, the first window of a connection.
-	segment = 16 << 10
-	// backlog is the queue of connections that are not accepted yet.
+	// segmentBytes is what a connection sends before others may use the link: about ten
+	// packets, the initial window of a TCP connection.
+	segmentBytes = 16 << 10
+	// backlog is the maximum number of connections that wait to be accepted.
 	backlog = 128
 )
 
 // Config describes the network.
 type Config struct {
-	// Delay is the time that a segment travels, beside the time on the links.
+	// Delay is the propagation delay of a segment, in addition to its transmission time.
 	Delay time.Duration
 }
 
-// Shaper is a network. It is safe for concurrent use.
+// Shaper is an in-memory network. It is safe for concurrent use.
 type Shaper struct {
 	c Config
 
@@ -58,61 +53,62 @@
 // New returns a network without hosts.
 func New(c Config) *Shaper { return &Shaper{c: c, listeners: make(map[string]*listener)} }
 
-// Host is one host with its link.
+// Host is a host of the network with its link.
 type Host struct {
-	s        *Shaper
-	up, down lane
+	network  *Shaper
+	up, down direction
 }
 
-// Host returns a new host whose link carries so many bytes a second in each
-// direction.
+// Host adds a host whose link carries the given number of bytes per second in each direction.
 func (s *Shaper) Host(bytesPerSecond float64) *Host {
-	return &Host{s: s, up: lane{rate: bytesPerSecond}, down: lane{rate: bytesPerSecond}}
+	return &Host{network: s, up: direction{rate: bytesPerSecond}, down: direction{rate: bytesPerSecond}}
 }
 
-// lane is one direction of a link.
-type lane struct {
+// direction is one direction of a link; it is in use until freeAt.
+type direction struct {
 	rate float64
 
-	mu   sync.Mutex
-	free time.Time
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
-// take reserves the lane for n bytes and returns when they are through.
-func (l *lane) take(n int) time.Time {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+// reserve reserves the direction for n bytes and returns the time at which they are sent.
+func (d *direction) reserve(n int) time.Time {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if now := time.Now(); d.freeAt.Before(now) {
+		d.freeAt = now
 	}
-	l.free = l.free.Add(time.Duration(float64(n) / l.rate * float64(time.Second)))
-	return l.free
+	d.freeAt = d.freeAt.Add(time.Duration(float64(n) / d.rate * float64(time.Second)))
+	return d.freeAt
 }
 
-// Listen takes connections to an address.
+// Listen returns a listener on an address. It fails with EADDRINUSE if the network already has
+// one there.
 func (h *Host) Listen(a netip.AddrPort) (net.Listener, error) {
-	h.s.mu.Lock()
-	defer h.s.mu.Unlock()
-	if h.s.listeners[a.String()] != nil {
+	h.network.mu.Lock()
+	defer h.network.mu.Unlock()
+	if h.network.listeners[a.String()] != nil {
 		return nil, &net.OpError{Op: "listen", Net: "tcp", Err: syscall.EADDRINUSE}
 	}
 	l := &listener{host: h, address: a, accepted: make(chan net.Conn, backlog), closed: make(chan struct{})}
-	h.s.listeners[a.String()] = l
+	h.network.listeners[a.String()] = l
 	return l, nil
 }
 
-// DialContext opens a connection to a listener's address.
+// DialContext connects to a listener's address, as IP:port. It fails with ECONNREFUSED if
+// nothing listens there. If the backlog is full, it waits until ctx ends.
 func (h *Host) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	h.s.mu.Lock()
-	l := h.s.listeners[address]
-	h.s.mu.Unlock()
+	h.network.mu.Lock()
+	l := h.network.listeners[address]
+	h.network.mu.Unlock()
 	if l == nil {
 		return nil, &net.OpError{Op: "dial", Net: network, Err: fmt.Errorf("%s: %w", address, syscall.ECONNREFUSED)}
 	}
 	near, far := net.Pipe()
 	select {
-	case l.accepted <- &conn{Conn: far, delay: h.s.c.Delay, up: &l.host.up, down: &h.down}:
-		return &conn{Conn: near, delay: h.s.c.Delay, up: &h.up, down: &l.host.down}, nil
+	case l.accepted <- &conn{Conn: far, delay: h.network.c.Delay, up: &l.host.up, down: &h.down}:
+		return &conn{Conn: near, delay: h.network.c.Delay, up: &h.up, down: &l.host.down}, nil
 	case <-l.closed:
 		return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 	case <-ctx.Done():
@@ -128,7 +124,7 @@
 	once     sync.Once
 }
 
-// Accept returns the next connection.
+// Accept waits for the next connection.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.accepted:
@@ -138,12 +134,12 @@
 	}
 }
 
-// Close refuses new connections.
+// Close frees the address and closes connections that aren't accepted yet.
 func (l *listener) Close() error {
 	l.once.Do(func() {
-		l.host.s.mu.Lock()
-		delete(l.host.s.listeners, l.address.String())
-		l.host.s.mu.Unlock()
+		l.host.network.mu.Lock()
+		delete(l.host.network.listeners, l.address.String())
+		l.host.network.mu.Unlock()
 		close(l.closed)
 		for {
 			select {
@@ -157,24 +153,24 @@
 	return nil
 }
 
-// Addr is the listener's address.
+// Addr returns the listener's address.
 func (l *listener) Addr() net.Addr { return net.TCPAddrFromAddrPort(l.address) }
 
-// conn is one end of a connection: what it writes takes the sender's up lane and the
-// receiver's down lane.
+// conn is one end of a connection. Its writes occupy the sender's upstream and the receiver's
+// downstream direction.
 type conn struct {
 	net.Conn
 	delay    time.Duration
-	up, down *lane
+	up, down *direction
 }
 
-// Write sends segment by segment.
+// Write writes p in segments and takes as long as the links need for them.
 func (c *conn) Write(p []byte) (n int, err error) {
 	for len(p) > 0 {
-		part := p[:min(len(p), segment)]
+		part := p[:min(len(p), segmentBytes)]
 		p = p[len(part):]
-		through := c.up.take(len(part))
-		if last := c.down.take(len(part)); last.After(through) {
+		through := c.up.reserve(len(part))
+		if last := c.down.reserve(len(part)); last.After(through) {
 			through = last
 		}
 		time.Sleep(time.Until(through) + c.delay)
--- a/internal/fault/shaper/shaper_test.go
+++ b/internal/fault/shaper/shaper_test.go
@@ -13,8 +13,8 @@
 
 var address = netip.MustParseAddrPort("10.0.0.1:80")
 
-// send makes senders transfer so many bytes each to one receiver at once, and returns
-// how long all of them took.
+// send transfers a number of bytes from each sender to one receiver concurrently and returns the
+// time until all transfers are complete.
 func send(t *testing.T, receiver *Host, bytes int, senders ...*Host) time.Duration {
 	t.Helper()
 	l, err := receiver.Listen(address)
@@ -46,23 +46,24 @@
 	}
 	for range senders {
 		if n := <-done; n != int64(bytes) {
-			t.Errorf("%d of %d bytes came", n, bytes)
+			t.Errorf("%d of %d bytes received", n, bytes)
 		}
 	}
 	return time.Since(began)
 }
 
-func TestTransfersTakeTheTimeOfTheNarrowestLink(t *testing.T) {
+// A transfer takes as long as the slowest link needs, which concurrent transfers share.
+func TestTransferTime(t *testing.T) {
 	for _, c := range []struct {
 		name           string
 		sender, target float64
 		senders        int
 		expect         time.Duration
 	}{
-		{"narrow sender", 1e6, 1e9, 1, time.Second},
-		{"narrow receiver", 1e9, 1e6, 1, time.Second},
-		{"four on a narrow receiver", 1e9, 1e6, 4, 4 * time.Second},
-		{"four narrow senders", 1e6, 1e9, 4, time.Second},
+		{"slow sender", 1e6, 1e9, 1, time.Second},
+		{"slow receiver", 1e9, 1e6, 1, time.Second},
+		{"four senders, slow receiver", 1e9, 1e6, 4, 4 * time.Second},
+		{"four slow senders", 1e6, 1e9, 4, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -73,17 +74,17 @@
 				}
 				took := send(t, n.Host(c.target), 1e6, senders...)
 				if off := took - c.expect; off < 0 || off > c.expect/20 {
-					t.Errorf("took %v, %v expected", took, c.expect)
+					t.Errorf("took %v, want %v", took, c.expect)
 				}
 			})
 		})
 	}
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestDialAndListenErrors(t *testing.T) {
 	n := New(Config{})
 	if _, err := n.Host(1).DialContext(t.Context(), "tcp", address.String()); !errors.Is(err, syscall.ECONNREFUSED) {
-		t.Errorf("error %v", err)
+		t.Errorf("dial without listener: error %v", err)
 	}
 	h := n.Host(1)
 	l, err := h.Listen(address)
@@ -91,10 +92,10 @@
 		t.Fatal(err)
 	}
 	if _, err := h.Listen(address); !errors.Is(err, syscall.EADDRINUSE) {
-		t.Errorf("the address is taken, error %v", err)
+		t.Errorf("second listener on an address: error %v", err)
 	}
 	l.Close()
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the listener is closed, error %v", err)
+		t.Errorf("accept on a closed listener: error %v", err)
 	}
 }
