--- a/internal/ops/accesslogger/accesslogger.go
+++ b/internal/ops/accesslogger/accesslogger.go
@@ -1,16 +1,13 @@
-// Package chronicler writes down how requests ended: a log line for people,
-// counters and histograms for alerts.
+// Package accesslogger records how requests end: a log line for operators, counters and
+// histograms for alerts.
 //
-// # Volume
-//
-// A line costs about 10 µs of processor time. Requests that failed get one each
-// up to [failedPerSecond]; of those that were answered [answeredPerSecond] are
-// written, as samples. Counters count all.
+// Writing a line takes about 10 µs of processor time. Therefore at most 50 failed requests per
+// second are logged and 5 successful ones, as samples. The metrics count all requests.
 //
 // # Usage
 //
-//	c := chronicler.New(chronicler.Config{Logger: l, Metrics: scope})
-//	c.RequestEnded(q, &result)
+//	l := accesslogger.New(accesslogger.Config{Logger: logger, Metrics: scope})
+//	l.RequestEnded(q, &result)
 package accesslogger
 
 import (
@@ -29,72 +26,75 @@
 )
 
 const (
-	// failedPerSecond and answeredPerSecond bound the lines of one daemon to
-	// some 20 KB a second.
-	failedPerSecond   = 50
-	answeredPerSecond = 5
+	// maxFailedLinesPerSecond and maxSuccessLinesPerSecond bound the access log of a daemon to
+	// about 20 KB per second.
+	maxFailedLinesPerSecond  = 50
+	maxSuccessLinesPerSecond = 5
 )
 
-// buckets reach from the work of a plain call (ms) to the longest stream (s).
-var buckets = tally.DurationBuckets{
+// durationBuckets range from the duration of a plain request (ms) to that of the longest stream
+// (s).
+var durationBuckets = tally.DurationBuckets{
 	time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond, 25 * time.Millisecond, 50 * time.Millisecond,
 	100 * time.Millisecond, 150 * time.Millisecond, 250 * time.Millisecond, 400 * time.Millisecond, 700 * time.Millisecond,
 	time.Second, 1500 * time.Millisecond, 2500 * time.Millisecond, 5 * time.Second, 10 * time.Second, 15 * time.Second,
 }
 
-// Config names where to write.
+// Config holds the destinations of log lines and metrics.
 type Config struct {
 	Logger  *log.Logger
 	Metrics tally.Scope
 }
 
-// Logger records the ends of requests. It is safe for concurrent use.
+// Logger records how requests end. It is safe for concurrent use.
 type Logger struct {
-	c        Config
-	failed   *rate.Limiter
-	answered *rate.Limiter
+	c              Config
+	failedLimiter  *rate.Limiter
+	successLimiter *rate.Limiter
 
-	mu     sync.Mutex
-	counts map[key]*series
+	mu          sync.Mutex
+	seriesByKey map[seriesKey]*series
 }
 
-type key struct {
+// seriesKey holds the tags of a series.
+type seriesKey struct {
 	outcome relayer.Outcome
 	status  int
 	service string
 }
 
+// series holds the metrics of the requests with one seriesKey.
 type series struct {
-	ended tally.Counter
-	first tally.Histogram
-	took  tally.Histogram
+	ended       tally.Counter
+	timeToFirst tally.Histogram
+	duration    tally.Histogram
 }
 
-// New returns a chronicler.
+// New returns an access logger with the given configuration.
 func New(c Config) *Logger {
 	return &Logger{
-		c: c, failed: rate.NewLimiter(failedPerSecond, failedPerSecond),
-		answered: rate.NewLimiter(answeredPerSecond, answeredPerSecond), counts: make(map[key]*series),
+		c: c, failedLimiter: rate.NewLimiter(maxFailedLinesPerSecond, maxFailedLinesPerSecond),
+		successLimiter: rate.NewLimiter(maxSuccessLinesPerSecond, maxSuccessLinesPerSecond), seriesByKey: make(map[seriesKey]*series),
 	}
 }
 
-// RequestEnded writes down how a request ended.
-func (c *Logger) RequestEnded(q *request.Request, r *relayer.Result) {
+// RequestEnded counts an ended request and logs it unless the limit of lines is reached.
+func (l *Logger) RequestEnded(q *request.Request, r *relayer.Result) {
 	took := time.Since(q.Received)
-	s := c.series(key{r.Outcome, r.Status, string(q.Service)})
+	s := l.series(seriesKey{r.Outcome, r.Status, string(q.Service)})
 	s.ended.Inc(1)
-	s.took.RecordDuration(took)
+	s.duration.RecordDuration(took)
 	if r.TimeToFirst > 0 {
-		s.first.RecordDuration(r.TimeToFirst)
+		s.timeToFirst.RecordDuration(r.TimeToFirst)
 	}
 	good := r.Outcome == relayer.Answered && r.Status < 300
-	if good && !c.answered.Allow() || !good && !c.failed.Allow() {
+	if good && !l.successLimiter.Allow() || !good && !l.failedLimiter.Allow() {
 		return
 	}
-	c.line(q, r, took)
+	l.logLine(q, r, took)
 }
 
-func (c *Logger) line(q *request.Request, r *relayer.Result, took time.Duration) {
+func (l *Logger) logLine(q *request.Request, r *relayer.Result, took time.Duration) {
 	fields := []any{
 		"request", q.ID, "outcome", r.Outcome, "status", r.Status, "took_ms", took.Milliseconds(),
 		"first_ms", r.TimeToFirst.Milliseconds(), "events", r.Events, "configuration", q.ConfigurationNumber, "service", q.Service,
@@ -113,21 +113,22 @@
 		fields = append(fields, "reason", r.Reason)
 	}
 	if len(r.Attempts) > 0 {
-		fields = append(fields, "attempts", attempts(r.Attempts))
+		fields = append(fields, "attempts", formatAttempts(r.Attempts))
 	}
 	if r.Excluded != (selector.Excluded{}) {
-		fields = append(fields, "excluded", excluded(&r.Excluded))
+		fields = append(fields, "excluded", formatExcluded(&r.Excluded))
 	}
-	c.c.Logger.Info("request ended", fields...)
+	l.c.Logger.Info("request ended", fields...)
 }
 
-// excluded says why endpoints could not be chosen.
-func excluded(x *selector.Excluded) string {
+// formatExcluded returns the number of endpoints excluded for each reason.
+func formatExcluded(x *selector.Excluded) string {
 	return fmt.Sprintf("%d leaving, %d ejected, %d full, %d tried, %d unknown service, %d silent, %d of another version, %d limited, %d resting",
 		x.Leaving, x.Ejected, x.Full, x.Tried, x.NotFound, x.Silent, x.Version, x.Limited, x.BackingOff)
 }
 
-func attempts(list []relayer.Attempt) string {
+// formatAttempts returns the attempts separated by semicolons.
+func formatAttempts(list []relayer.Attempt) string {
 	var b strings.Builder
 	for i, a := range list {
 		if i > 0 {
@@ -139,17 +140,18 @@
 	return b.String()
 }
 
-func (c *Logger) series(k key) *series {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	s := c.counts[k]
+// series returns the metrics for a key and creates them if necessary.
+func (l *Logger) series(k seriesKey) *series {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	s := l.seriesByKey[k]
 	if s == nil {
-		scope := c.c.Metrics.Tagged(map[string]string{"outcome": string(k.outcome), "status": fmt.Sprint(k.status), "service": k.service})
+		scope := l.c.Metrics.Tagged(map[string]string{"outcome": string(k.outcome), "status": fmt.Sprint(k.status), "service": k.service})
 		s = &series{
-			ended: scope.Counter("requests_ended"), first: scope.Histogram("first_event_seconds", buckets),
-			took: scope.Histogram("request_seconds", buckets),
+			ended: scope.Counter("requests_ended"), timeToFirst: scope.Histogram("first_event_seconds", durationBuckets),
+			duration: scope.Histogram("request_seconds", durationBuckets),
 		}
-		c.counts[k] = s
+		l.seriesByKey[k] = s
 	}
 	return s
 }
--- a/internal/ops/accesslogger/accesslogger_test.go
+++ b/internal/ops/accesslogger/accesslogger_test.go
@@ -15,7 +15,8 @@
 	"brasschute/internal/serve/request"
 )
 
-func ended() (*request.Request, *relayer.Result) {
+// failedRequest returns a request with an unknown outcome after one attempt.
+func failedRequest() (*request.Request, *relayer.Result) {
 	q := &request.Request{
 		ID: "r-1", Received: time.Now(), ConfigurationNumber: 7, Service: "lm", Route: &catalog.Route{Name: "letters"},
 		Organisation: &catalog.Organisation{Name: "desk"}, ClientTimeout: time.Second, PromptTokens: 17_000,
@@ -25,33 +26,35 @@
 	}}
 }
 
-func TestLinesAreBounded(t *testing.T) {
+// A burst of failed requests must not flood the log; the lines that are written must hold what
+// an operator needs.
+func TestLineRate(t *testing.T) {
 	var out bytes.Buffer
 	c := New(Config{Logger: logger.New(logger.Config{Level: "info", Format: "json", Output: &out}), Metrics: tally.NoopScope})
-	q, r := ended()
-	for range 10 * failedPerSecond {
+	q, r := failedRequest()
+	for range 10 * maxFailedLinesPerSecond {
 		c.RequestEnded(q, r)
 	}
 	lines := strings.Count(out.String(), "\n")
-	if lines < failedPerSecond || lines > 2*failedPerSecond {
-		t.Errorf("%d lines at once, the bound is %d a second", lines, failedPerSecond)
+	if lines < maxFailedLinesPerSecond || lines > 2*maxFailedLinesPerSecond {
+		t.Errorf("%d lines in a burst, the limit is %d per second", lines, maxFailedLinesPerSecond)
 	}
 	for _, word := range []string{`"request":"r-1"`, `"outcome":"unknown"`, `"configuration":7`, "i-1 at 0ms predicted 30ms cached 13000", "3 leaving, 0 ejected, 0 full, 1 tried"} {
 		if !strings.Contains(out.String(), word) {
-			t.Errorf("no %s in a line", word)
+			t.Errorf("no line contains %s", word)
 		}
 	}
 }
 
-// One line of a failed request: 9.5 µs and 363 bytes when this was written.
+// BenchmarkLine logs one failed request, which takes about 9.5 µs and 363 bytes.
 func BenchmarkLine(b *testing.B) {
 	var out bytes.Buffer
 	c := New(Config{Logger: logger.New(logger.Config{Level: "info", Format: "json", Output: &out}), Metrics: tally.NoopScope})
-	q, r := ended()
+	q, r := failedRequest()
 	b.ReportAllocs()
 	for b.Loop() {
 		out.Reset()
-		c.line(q, r, time.Millisecond)
+		c.logLine(q, r, time.Millisecond)
 	}
 	b.ReportMetric(float64(out.Len()), "bytes/line")
 }
--- a/internal/ops/asyncwriter/asyncwriter.go
+++ b/internal/ops/asyncwriter/asyncwriter.go
@@ -1,18 +1,16 @@
-// Package queuer keeps a blocked log from blocking the process.
+// Package asyncwriter decouples a process from its log output.
 //
-// # What it guards against
-//
-// Standard output may be a pipe that nobody reads for a while. A write to it
-// then blocks whoever logs, and with it the request being logged. A [Writer]
-// takes each line into a bounded queue and returns; one goroutine writes. When
-// the queue is full, lines are dropped and counted, and the next line that fits
-// is preceded by one that says how many are missing.
+// Standard output may be a pipe that isn't read for a while. A write to it would block the
+// goroutine that logs, and with it the request being logged. A [Writer] puts each line into a
+// bounded queue and returns; a single goroutine writes the lines to the output. If the queue is
+// full, lines are dropped and counted, and a line with the number of dropped lines precedes the
+// next line written.
 //
 // # Usage
 //
-//	q := queuer.New(queuer.Config{Output: os.Stdout})
-//	go q.Serve(ctx)
-//	logger.New(logger.Config{Output: q})
+//	w := asyncwriter.New(asyncwriter.Config{Output: os.Stdout})
+//	go w.Serve(ctx)
+//	logger.New(logger.Config{Output: w})
 package asyncwriter
 
 import (
@@ -25,23 +23,24 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// defaultLines is the queue's size: several seconds of the lines of a busy
-// daemon (package chronicler bounds them to 60 a second), some 300 bytes each.
-const defaultLines = 1024
+// defaultQueueLines is enough for several seconds of a busy daemon's lines of about 300 bytes
+// each. Package accesslogger bounds its lines to fewer than 60 per second.
+const defaultQueueLines = 1024
 
-// flushTime is how long the end waits for a reader.
-const flushTime = 200 * time.Millisecond
+// flushTimeout is how long Flush waits for the output.
+const flushTimeout = 200 * time.Millisecond
 
-// Config names the output.
+// Config holds the output and the size of the queue.
 type Config struct {
 	Output io.Writer
-	// Lines is the queue's size; 1,024 if zero.
+	// Lines is the maximum number of queued lines. The default is 1024.
 	Lines int
 }
 
-// Writer is a writer that never blocks. It is safe for concurrent use.
+// Writer queues lines for an output without ever blocking the caller. It is safe for concurrent
+// use.
 type Writer struct {
-	out     io.Writer
+	output  io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 	total   atomic.Int64
@@ -52,58 +51,59 @@
 	_ suture.Service = (*Writer)(nil)
 )
 
-// New returns a queuer; nothing is written until it is served.
+// New returns a writer. Nothing is written to the output until Serve or Flush runs.
 func New(c Config) *Writer {
 	if c.Lines == 0 {
-		c.Lines = defaultLines
+		c.Lines = defaultQueueLines
 	}
-	return &Writer{out: c.Output, lines: make(chan []byte, c.Lines)}
+	return &Writer{output: c.Output, lines: make(chan []byte, c.Lines)}
 }
 
-// Write queues a copy of one line, or drops it.
-func (q *Writer) Write(p []byte) (int, error) {
+// Write queues a copy of one line, or drops it if the queue is full. It never fails.
+func (w *Writer) Write(p []byte) (int, error) {
 	line := append([]byte(nil), p...)
 	select {
-	case q.lines <- line:
+	case w.lines <- line:
 	default:
-		q.dropped.Add(1)
-		q.total.Add(1)
+		w.dropped.Add(1)
+		w.total.Add(1)
 	}
 	return len(p), nil
 }
 
-// Dropped counts the lines that were lost since the start.
-func (q *Writer) Dropped() int64 { return q.total.Load() }
+// Dropped returns the number of lines dropped since the start.
+func (w *Writer) Dropped() int64 { return w.total.Load() }
 
-// Serve writes lines until ctx ends.
-func (q *Writer) Serve(ctx context.Context) error {
+// Serve writes queued lines to the output until ctx ends.
+func (w *Writer) Serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case line := <-q.lines:
-			q.write(line)
+		case line := <-w.lines:
+			w.write(line)
 		}
 	}
 }
 
-func (q *Writer) write(line []byte) {
-	if n := q.dropped.Swap(0); n > 0 {
-		fmt.Fprintf(q.out, `{"level":"warn","msg":"log lines dropped","count":%d}`+"\n", n)
+// write writes a line, after a notice of the lines dropped before it.
+func (w *Writer) write(line []byte) {
+	if n := w.dropped.Swap(0); n > 0 {
+		fmt.Fprintf(w.output, `{"level":"warn","msg":"log lines dropped","count":%d}`+"\n", n)
 	}
-	// A log that can't be written can't be reported in the log.
-	_, _ = q.out.Write(line)
+	// A failed write of the log can't be reported in the log.
+	_, _ = w.output.Write(line)
 }
 
-// Flush writes what is queued, unless the output blocks.
-func (q *Writer) Flush() {
+// Flush writes all queued lines, but gives up after 200 ms if the output blocks.
+func (w *Writer) Flush() {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		for {
 			select {
-			case line := <-q.lines:
-				q.write(line)
+			case line := <-w.lines:
+				w.write(line)
 			default:
 				return
 			}
@@ -111,6 +111,6 @@
 	}()
 	select {
 	case <-done:
-	case <-time.After(flushTime):
+	case <-time.After(flushTimeout):
 	}
 }
--- a/internal/ops/asyncwriter/asyncwriter_test.go
+++ b/internal/ops/asyncwriter/asyncwriter_test.go
@@ -11,25 +11,25 @@
 	"testing/synctest"
 )
 
-// blocked is an output that nobody reads until it is let go.
-type blocked struct {
-	mu  sync.Mutex
-	let chan struct{}
-	got bytes.Buffer
+// blockedOutput is an output that blocks until released is closed.
+type blockedOutput struct {
+	mu       sync.Mutex
+	released chan struct{}
+	written  bytes.Buffer
 }
 
-func (b *blocked) Write(p []byte) (int, error) {
-	<-b.let
+func (b *blockedOutput) Write(p []byte) (int, error) {
+	<-b.released
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.got.Write(p)
+	return b.written.Write(p)
 }
 
-// Standard output is a pipe that nobody reads. Whoever logs must go on at once,
-// and the reader must learn later how much is missing.
-func TestBlockedOutputBlocksNobody(t *testing.T) {
+// Standard output is a pipe that isn't read. Logging must not block, and once the pipe is read
+// again, a notice must state how many lines were dropped.
+func TestBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &blocked{let: make(chan struct{})}
+		out := &blockedOutput{released: make(chan struct{})}
 		q := New(Config{Output: out, Lines: 10})
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { _ = q.Serve(ctx) }()
@@ -42,13 +42,13 @@
 		if dropped < lines-12 {
 			t.Errorf("%d lines dropped", dropped)
 		}
-		close(out.let)
+		close(out.released)
 		synctest.Wait()
 		fmt.Fprintf(q, "the last line\n")
 		synctest.Wait()
-		text := out.got.String()
-		if told := missing(t, text); told != dropped || !strings.HasSuffix(text, "the last line\n") {
-			t.Errorf("%d lines are said to be missing, %d are; written: %q", told, dropped, text)
+		text := out.written.String()
+		if reported := reportedMissing(t, text); reported != dropped || !strings.HasSuffix(text, "the last line\n") {
+			t.Errorf("%d lines reported as dropped, want %d; written: %q", reported, dropped, text)
 		}
 		if written := int64(strings.Count(text, "line ")); written+dropped != lines {
 			t.Errorf("%d lines written and %d dropped of %d", written, dropped, lines)
@@ -57,9 +57,9 @@
 	})
 }
 
-// missing sums the lines that notices say are missing. The writer may take a line
-// while others are still being dropped, so there may be several notices.
-func missing(t *testing.T, text string) int64 {
+// reportedMissing returns the sum of the dropped lines that notices report. The writer may take a
+// line while others are still being dropped, so there may be several notices.
+func reportedMissing(t *testing.T, text string) int64 {
 	t.Helper()
 	sum := int64(0)
 	for line := range strings.Lines(text) {
@@ -78,7 +78,8 @@
 	return sum
 }
 
-func TestFlushWritesWhatIsQueued(t *testing.T) {
+// Lines that are queued when the process ends must still be written.
+func TestFlush(t *testing.T) {
 	var out bytes.Buffer
 	q := New(Config{Output: &out})
 	fmt.Fprint(q, "a\n")
--- a/internal/ops/commander/commander.go
+++ b/internal/ops/commander/commander.go
@@ -1,12 +1,12 @@
-// Package commander is the command line of brasschute.
+// Package commander implements the command line of brasschute.
 //
 // # Exit codes
 //
-//	0  done
-//	1  failed; nothing changed
-//	2  wrong use of the command line
-//	3  refused: a draft is not valid, or conflicts with another change
-//	4  the outcome is not known, or not all daemons have the change in force
+//	0  success
+//	1  failure; nothing changed
+//	2  invalid command line
+//	3  rejected: a draft is invalid or conflicts with another change
+//	4  the outcome is unknown, or the change isn't in force at all daemons
 //
 // # Usage
 //
@@ -24,8 +24,8 @@
 
 	"brasschute/internal/config/deployment"
 	"brasschute/internal/config/settings"
-	"brasschute/internal/ops/logger"
 	"brasschute/internal/ops/asyncwriter"
+	"brasschute/internal/ops/logger"
 	"brasschute/internal/role/controller"
 	"brasschute/internal/role/demonstrator"
 	"brasschute/internal/role/entry"
@@ -36,51 +36,52 @@
 	"github.com/twitchtv/twirp"
 )
 
-// The exit codes.
+// Exit codes; see the package comment.
 const (
-	exitDone    = 0
+	exitOK      = 0
 	exitFailed  = 1
 	exitUsage   = 2
 	exitRefused = 3
 	exitUnknown = 4
 )
 
-// keyVariable is the environment variable that may hold the operator's key.
+// keyVariable is the environment variable that holds the default of --key.
 const keyVariable = "BRASSCHUTE_OPERATOR_KEY"
 
-// Config names the outputs.
+// Config holds the outputs of commands.
 type Config struct {
 	Output io.Writer
+	// Errors receives error messages and the logs of all roles but the gateway.
 	Errors io.Writer
 }
 
-// Commander runs one command.
+// Commander parses a command line and runs its command.
 type Commander struct {
 	c Config
 
-	settings string
-	address  string
-	key      string
-	output   string
-	keep     bool
-	file     string
-	from     int
-	request  string
-	host     string
-	limit    int
+	settings    string
+	address     string
+	key         string
+	output      string
+	keepServing bool
+	file        string
+	baseNumber  int
+	request     string
+	host        string
+	limit       int
 
 	fingerprint string
 }
 
-// New returns a commander with its defaults.
+// New returns a commander with the default values of all flags.
 func New(c Config) *Commander {
-	return &Commander{c: c, address: "127.0.0.1:8081", key: os.Getenv(keyVariable), output: "text", from: noFrom}
+	return &Commander{c: c, address: "127.0.0.1:8081", key: os.Getenv(keyVariable), output: "text", baseNumber: baseNumberUnset}
 }
 
-// noFrom is the value of --from when it was not given.
-const noFrom = -1
+// baseNumberUnset is the value of --from if the flag isn't given.
+const baseNumberUnset = -1
 
-// command is one subcommand with what runs it.
+// command is a subcommand and the function that runs it.
 type command struct {
 	sub *flaggy.Subcommand
 	run func(context.Context) error
@@ -90,7 +91,7 @@
 func (k *Commander) Run(args []string) int {
 	p := flaggy.NewParser("brasschute")
 	p.Description = "serves language models and plain services on reclaimable hosts"
-	commands := k.commands(p)
+	commands := k.subcommands(p)
 	if err := p.ParseArgs(args); err != nil {
 		fmt.Fprintln(k.c.Errors, "brasschute:", err)
 		return exitUsage
@@ -99,14 +100,16 @@
 	defer stop()
 	for _, c := range commands {
 		if c.sub.Used {
-			return k.exit(c.run(ctx))
+			return k.exitCode(c.run(ctx))
 		}
 	}
 	p.ShowHelp()
 	return exitUsage
 }
 
-func (k *Commander) commands(p *flaggy.Parser) []command {
+// subcommands attaches all subcommands to the parser and returns them. Nested ones come before
+// their parent, because Run takes the first that is used.
+func (k *Commander) subcommands(p *flaggy.Parser) []command {
 	var out []command
 	add := func(name, description string, run func(context.Context) error) *flaggy.Subcommand {
 		sub := flaggy.NewSubcommand(name)
@@ -120,31 +123,32 @@
 	}
 	role("entry", "run an entry daemon", k.entry)
 	role("controller", "run a controller", k.controller)
-	add("gateway", "run a daemon on the hosting platform, from the settings that it hands over", k.gateway)
+	add("gateway", "run a daemon on the hosting platform with the settings that the platform provides", k.gateway)
 	add("settings", "check a settings file of the hosting platform; needs no daemon", k.checkSettings).
-		AddPositionalValue(&k.file, "FILE", 1, true, "settings (TOML), as the platform hands them over")
-	beliefs := add("beliefs", "show what a daemon on the hosting platform believes, with the age of each belief", k.beliefs)
-	beliefs.AddPositionalValue(&k.address, "ADDRESS", 1, true, "IP:port of the daemon's metrics")
-	lift := add("lift", "let a request through again that is held back, as endpoints ended under it", k.lift)
-	lift.AddPositionalValue(&k.address, "ADDRESS", 1, true, "IP:port of any daemon's metrics")
-	lift.AddPositionalValue(&k.fingerprint, "FINGERPRINT", 2, true, "as beliefs and the log show it")
-	add("demo", "show the whole system in one process", k.demo).Bool(&k.keep, "", "keep", "go on serving")
+		AddPositionalValue(&k.file, "FILE", 1, true, "settings file (TOML), as the platform provides it")
+	beliefs := add("beliefs", "show a gateway's view of the system, with the age of each part", k.view)
+	beliefs.AddPositionalValue(&k.address, "ADDRESS", 1, true, "address of the daemon's metrics, IP:port")
+	lift := add("lift", "lift the quarantine of a request under which endpoints crashed", k.releaseQuarantined)
+	lift.AddPositionalValue(&k.address, "ADDRESS", 1, true, "address of any daemon's metrics, IP:port")
+	lift.AddPositionalValue(&k.fingerprint, "FINGERPRINT", 2, true, "fingerprint of the request, as shown by 'beliefs' and in the log")
+	add("demo", "run a demonstration of the whole system in one process", k.demo).Bool(&k.keepServing, "", "keep", "keep serving until interrupted")
 	add("key", "print a new random key and its hash", k.newKey)
 	ask := func(name, description string, run func(context.Context) error) *flaggy.Subcommand {
 		sub := add(name, description, run)
-		k.remote(sub)
+		k.addRemoteFlags(sub)
 		return sub
 	}
 	ask("status", "show a daemon's view of the fleet", k.status)
-	ask("explain", "explain how a request was decided", k.explain).AddPositionalValue(&k.request, "REQUEST-ID", 1, true, "the request's id")
-	audit := ask("audit", "show who and what changed the fleet", k.audit)
-	audit.String(&k.host, "", "host", "only this host's story")
-	audit.Int(&k.limit, "n", "limit", "number of entries")
+	ask("explain", "show how a request was routed", k.explain).AddPositionalValue(&k.request, "REQUEST-ID", 1, true, "the request's id")
+	audit := ask("audit", "show changes to the fleet, with author and cause", k.audit)
+	audit.String(&k.host, "", "host", "show only entries about this host")
+	audit.Int(&k.limit, "n", "limit", "maximum number of entries")
 	ask("drain", "stop a daemon gracefully", k.drain)
-	return append(k.configCommands(p), out...)
+	return append(k.configSubcommands(p), out...)
 }
 
-func (k *Commander) configCommands(p *flaggy.Parser) []command {
+// configSubcommands attaches the config command and its subcommands.
+func (k *Commander) configSubcommands(p *flaggy.Parser) []command {
 	config := flaggy.NewSubcommand("config")
 	config.Description = "check, apply and show the configuration"
 	p.AttachSubcommand(config, 1)
@@ -157,50 +161,49 @@
 		return sub
 	}
 	add("validate", "check a configuration file; needs no daemon", k.validate).AddPositionalValue(&k.file, "FILE", 1, true, "configuration (YAML)")
-	apply := add("apply", "bring a configuration into force", k.apply)
+	apply := add("apply", "apply a configuration", k.apply)
 	apply.AddPositionalValue(&k.file, "FILE", 1, true, "configuration (YAML)")
-	apply.Int(&k.from, "f", "from", "number that the draft was made from; taken from the file's first line if left out")
-	k.remote(apply)
-	k.remote(add("get", "print the configuration in force", k.get))
-	history := add("history", "show who changed what", k.history)
-	history.Int(&k.limit, "n", "limit", "number of changes")
-	k.remote(history)
+	apply.Int(&k.baseNumber, "f", "from", "number of the configuration that the draft is based on; by default taken from the file's first line")
+	k.addRemoteFlags(apply)
+	k.addRemoteFlags(add("get", "print the configuration in force", k.get))
+	history := add("history", "show configuration changes, with author", k.history)
+	history.Int(&k.limit, "n", "limit", "maximum number of changes")
+	k.addRemoteFlags(history)
 	out = append(out, command{config, func(context.Context) error {
-		return usage("config needs one of: validate, apply, get, history")
+		return usageError("config needs one of: validate, apply, get, history")
 	}})
 	return out
 }
 
-// remote adds the flags of commands that call a daemon.
-func (k *Commander) remote(sub *flaggy.Subcommand) {
-	sub.String(&k.address, "a", "address", "the daemon's address for operators, IP:port")
-	sub.String(&k.key, "k", "key", "operator's key; better in "+keyVariable)
+// addRemoteFlags adds the flags of commands that call a daemon.
+func (k *Commander) addRemoteFlags(sub *flaggy.Subcommand) {
+	sub.String(&k.address, "a", "address", "the daemon's operator address, IP:port")
+	sub.String(&k.key, "k", "key", "operator's key; preferably set in "+keyVariable)
 	sub.String(&k.output, "o", "output", "text or json")
 }
 
-// usage is the error of a wrong command line.
-type usage string
+// usageError reports an invalid command line.
+type usageError string
 
-// Error returns the mistake.
-func (u usage) Error() string { return string(u) }
+// Error returns the description of the mistake.
+func (u usageError) Error() string { return string(u) }
 
-// partial is the error of a change that is accepted but not everywhere in
-// force.
-type partial string
+// partialError reports a change that is accepted but not confirmed in force at all daemons.
+type partialError string
 
-// Error names who lacks the change.
-func (p partial) Error() string { return string(p) }
+// Error returns how many daemons don't have the change.
+func (p partialError) Error() string { return string(p) }
 
-// refused is the error of a draft with problems.
-type refused string
+// refusedError reports an invalid draft.
+type refusedError string
 
-// Error lists the problems.
-func (r refused) Error() string { return string(r) }
+// Error returns the list of problems.
+func (r refusedError) Error() string { return string(r) }
 
-// exit prints an error and chooses the exit code.
-func (k *Commander) exit(err error) int {
+// exitCode prints an error, if any, and returns the exit code for it.
+func (k *Commander) exitCode(err error) int {
 	if err == nil {
-		return exitDone
+		return exitOK
 	}
 	text := err.Error()
 	var remote twirp.Error
@@ -208,9 +211,9 @@
 		text = remote.Msg()
 	}
 	fmt.Fprintln(k.c.Errors, text)
-	var u usage
-	var p partial
-	var r refused
+	var u usageError
+	var p partialError
+	var r refusedError
 	switch {
 	case errors.As(err, &u):
 		return exitUsage
@@ -232,7 +235,7 @@
 
 func (k *Commander) loadSettings() (*settings.Settings, error) {
 	if k.settings == "" {
-		return nil, usage("--settings FILE is needed")
+		return nil, usageError("--settings FILE is needed")
 	}
 	source, err := os.ReadFile(k.settings)
 	if err != nil {
@@ -263,13 +266,13 @@
 	return controller.New(controller.Config{Settings: s, Logger: l}).Run(ctx)
 }
 
-// gateway runs a daemon on the hosting platform. Its log goes to standard
-// output, through a queue that never blocks the daemon.
+// gateway runs a daemon on the hosting platform. Its log goes to standard output through an
+// asyncwriter, so that an unread output can't block the daemon.
 func (k *Commander) gateway(ctx context.Context) error {
-	// By default a hang-up would end the process, and so would a write to a log
-	// that nobody reads any more.
-	hint := make(chan os.Signal, 1)
-	signal.Notify(hint, syscall.SIGHUP)
+	// By default, SIGHUP would end the process, and so would SIGPIPE after a write to a log pipe
+	// whose reader is gone.
+	reload := make(chan os.Signal, 1)
+	signal.Notify(reload, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
 	path := os.Getenv(platform.SettingsVariable)
 	d, err := platform.ReadDeployment(path)
@@ -280,7 +283,7 @@
 	defer lines.Flush()
 	go func() { _ = lines.Serve(context.WithoutCancel(ctx)) }()
 	g, err := gateway.New(gateway.Config{
-		Deployment: d, ReadDeployment: func() (*deployment.Deployment, error) { return platform.ReadDeployment(path) }, Reload: hint,
+		Deployment: d, ReadDeployment: func() (*deployment.Deployment, error) { return platform.ReadDeployment(path) }, Reload: reload,
 		Logger: logger.New(logger.Config{Level: "info", Format: "json", Output: lines, Host: string(d.Host)}),
 	})
 	if err != nil {
@@ -289,7 +292,7 @@
 	return g.Run(ctx)
 }
 
-// checkSettings reads a settings file as a daemon would at its start.
+// demo runs a demonstration of the whole system in one process.
 func (k *Commander) demo(ctx context.Context) error {
-	return demonstrator.New(demonstrator.Config{Output: k.c.Output, Log: k.c.Errors, KeepServing: k.keep}).Run(ctx)
+	return demonstrator.New(demonstrator.Config{Output: k.c.Output, Log: k.c.Errors, KeepServing: k.keepServing}).Run(ctx)
 }
--- a/internal/ops/commander/remote.go
+++ b/internal/ops/commander/remote.go
@@ -21,14 +21,14 @@
 
 const (
 	newKeyBytes = 32
-	// numberLine heads a configuration that 'config get' printed.
-	numberLine = "# brasschute configuration "
+	// numberLinePrefix starts the first line that 'config get' prints, before the number.
+	numberLinePrefix = "# brasschute configuration "
 )
 
 func (k *Commander) client() rpc.Operator { return printer.Client(k.address, k.key) }
 
-// show prints a message as JSON or, by f, for people.
-func (k *Commander) show(m proto.Message, f func(*printer.Printer)) error {
+// print prints a message as JSON, or calls f to print it as text.
+func (k *Commander) print(m proto.Message, f func(*printer.Printer)) error {
 	switch k.output {
 	case "json":
 		text, err := protojson.MarshalOptions{Multiline: true, EmitUnpopulated: true}.Marshal(m)
@@ -39,7 +39,7 @@
 	case "text":
 		f(printer.New(k.c.Output))
 	default:
-		return usage(fmt.Sprintf("--output: found %q; allowed: text, json", k.output))
+		return usageError(fmt.Sprintf("--output: found %q; allowed: text, json", k.output))
 	}
 	return nil
 }
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	return k.show(s, func(e *printer.Printer) { e.Status(s) })
+	return k.print(s, func(p *printer.Printer) { p.Status(s) })
 }
 
 func (k *Commander) explain(ctx context.Context) error {
@@ -66,7 +66,7 @@
 		return err
 	}
 	if !reply.Found {
-		return fmt.Errorf("no daemon that can be reached remembers request %q", k.request)
+		return fmt.Errorf("no reachable daemon has a record of request %q", k.request)
 	}
 	if k.output == "json" {
 		fmt.Fprintln(k.c.Output, reply.RecordJson)
@@ -85,7 +85,7 @@
 	if err != nil {
 		return err
 	}
-	return k.show(reply, func(e *printer.Printer) { e.Audit(reply) })
+	return k.print(reply, func(p *printer.Printer) { p.Audit(reply) })
 }
 
 func (k *Commander) drain(ctx context.Context) error {
@@ -93,7 +93,7 @@
 	if err != nil {
 		return err
 	}
-	return k.show(reply, func(*printer.Printer) { fmt.Fprintln(k.c.Output, "the daemon stops; it was", reply.State) })
+	return k.print(reply, func(*printer.Printer) { fmt.Fprintln(k.c.Output, "the daemon stops; it was", reply.State) })
 }
 
 func (k *Commander) validate(context.Context) error {
@@ -102,7 +102,7 @@
 		return fmt.Errorf("config: %w", err)
 	}
 	if _, err := compiler.Compile(k.file, source); err != nil {
-		return refused(err.Error())
+		return refusedError(err.Error())
 	}
 	fmt.Fprintln(k.c.Output, k.file, "is valid")
 	return nil
@@ -113,7 +113,7 @@
 	if err != nil {
 		return fmt.Errorf("config: %w", err)
 	}
-	from, body, err := k.origin(string(source))
+	from, body, err := k.parseBaseNumber(string(source))
 	if err != nil {
 		return err
 	}
@@ -121,29 +121,29 @@
 	if err != nil {
 		return err
 	}
-	if err := k.show(a, func(e *printer.Printer) { e.Applied(a) }); err != nil {
+	if err := k.print(a, func(p *printer.Printer) { p.Applied(a) }); err != nil {
 		return err
 	}
 	if n := len(a.Behind) + len(a.Unreachable); n > 0 {
-		return partial(fmt.Sprintf("accepted, but not confirmed in force at %d daemons", n))
+		return partialError(fmt.Sprintf("accepted, but not confirmed in force at %d daemons", n))
 	}
 	return nil
 }
 
-// origin finds the number that a draft was made from: as given, or from the
-// line that 'config get' puts first, which is not part of the configuration.
-func (k *Commander) origin(source string) (from uint64, body string, err error) {
+// parseBaseNumber returns the number of the configuration that a draft is based on, and the draft
+// without the first line that 'config get' adds. The number comes from --from or that line.
+func (k *Commander) parseBaseNumber(source string) (from uint64, body string, err error) {
 	first, rest, _ := strings.Cut(source, "\n")
-	number, marked := strings.CutPrefix(first, numberLine)
+	number, marked := strings.CutPrefix(first, numberLinePrefix)
 	if marked {
 		source = rest
 	}
-	if k.from != noFrom {
-		return uint64(max(k.from, 0)), source, nil
+	if k.baseNumber != baseNumberUnset {
+		return uint64(max(k.baseNumber, 0)), source, nil
 	}
 	from, err = strconv.ParseUint(strings.TrimSpace(number), 10, 64)
 	if !marked || err != nil {
-		return 0, "", usage("state the number that the draft was made from: --from N, or keep the first line of 'config get'")
+		return 0, "", usageError("the number of the configuration that the draft is based on is missing: pass --from N, or keep the first line of 'config get'")
 	}
 	return from, source, nil
 }
@@ -153,8 +153,8 @@
 	if err != nil {
 		return err
 	}
-	return k.show(c, func(*printer.Printer) {
-		fmt.Fprintf(k.c.Output, "%s%d\n%s", numberLine, c.Number, c.Source)
+	return k.print(c, func(*printer.Printer) {
+		fmt.Fprintf(k.c.Output, "%s%d\n%s", numberLinePrefix, c.Number, c.Source)
 	})
 }
 
@@ -163,5 +163,5 @@
 	if err != nil {
 		return err
 	}
-	return k.show(h, func(e *printer.Printer) { e.History(h) })
+	return k.print(h, func(p *printer.Printer) { p.History(h) })
 }
--- a/internal/ops/logger/logger.go
+++ b/internal/ops/logger/logger.go
@@ -1,12 +1,12 @@
-// Package logger makes the structured log of a process.
+// Package logger creates the structured logger of a process.
 //
 // # Usage
 //
 //	l := logger.New(logger.Config{Level: "info", Format: "json", Output: os.Stderr})
 //	l.Info("request", "request", id)
 //
-// Logs go to standard error, a line an event, as JSON for programs or as text
-// for people. Every line of a request carries its id under the key "request".
+// Each event is one line, as JSON for programs or as text for people. Every line about a request
+// carries the request's id under the key "request".
 package logger
 
 import (
@@ -16,16 +16,18 @@
 	"github.com/charmbracelet/log"
 )
 
-// Config sets what is logged, and where.
+// Config holds the level, format and output of a logger.
 type Config struct {
-	Level  string
+	// Level is the lowest level that is logged, such as "info".
+	Level string
+	// Format is "text" or "json", which is the default.
 	Format string
 	Output io.Writer
-	// Host is added to every line, if not empty.
+	// Host, if not empty, is added to every line under the key "host".
 	Host string
 }
 
-// New returns a logger. An unknown level counts as info.
+// New returns a logger. An unknown level is treated as info.
 func New(c Config) *log.Logger {
 	level, err := log.ParseLevel(c.Level)
 	if err != nil {
--- a/internal/ops/operator/operator.go
+++ b/internal/ops/operator/operator.go
@@ -1,18 +1,13 @@
-// Package operator answers the command line's calls to a daemon.
+// Package operator implements the operators' service of a daemon, which the command line calls.
 //
-// # Who may call
+// Each operator has a key of its own, of which the daemon knows only the hash. The operator's
+// name is written into the record of each change. Operators have a listener separate from that
+// for clients.
 //
-// Each operator has a key of its own, known here by its hash; the name that
-// belongs to it goes into the change record. The listener for operators is
-// separate from that for callers.
-//
-// # Applying
-//
-// A configuration counts as accepted once the platform has stored it. The
-// daemon then asks its living peers which number they have in force, and
-// offers it to those that are behind, until all have it or three seconds have
-// passed; the reply names those that have it, those still behind, and those
-// that could not be reached.
+// A configuration is accepted once the platform has stored it. The daemon then asks its live
+// peers for the number of their configuration in force and offers the new one to those that are
+// behind, until all have it or three seconds have passed. The reply lists the hosts that have
+// it, those that are still behind, and those that could not be reached.
 //
 // # Usage
 //
@@ -39,9 +34,9 @@
 	"brasschute/internal/config/document"
 	"brasschute/internal/config/keeper"
 	"brasschute/internal/core/identifier"
+	"brasschute/internal/fleet/auditor"
 	"brasschute/internal/fleet/planner"
 	"brasschute/internal/fleet/repairer"
-	"brasschute/internal/fleet/auditor"
 	"brasschute/internal/peer/gossiper"
 	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/rpc"
@@ -54,51 +49,54 @@
 )
 
 const (
-	applyPatience = 3 * time.Second
-	applyPause    = 100 * time.Millisecond
-	peerTimeout   = time.Second
-	parallel      = 32
-	defaultLimit  = 20
-	maxLimit      = 1000
+	applyTimeout      = 3 * time.Second
+	applyPollInterval = 100 * time.Millisecond
+	peerTimeout       = time.Second
+	maxParallelCalls  = 32
+	defaultLimit      = 20
+	maxLimit          = 1000
 )
 
-// Config names the operator's collaborators.
+// Config holds the dependencies of the operators' service.
 type Config struct {
-	// Keys maps the SHA-256 of an operator's key, in hexadecimal, to its name.
+	// Keys maps the hexadecimal SHA-256 hash of an operator's key to the operator's name.
 	Keys     map[string]string
 	Keeper   *keeper.Keeper
 	Applier  *applier.Applier
 	Ledger   *membertracker.Tracker
 	Registry *registry.Registry
 	Recorder *recorder.Recorder
-	// Peer returns a client for a peer's address.
+	// Peer returns a client for a peer's address, as IP:port.
 	Peer func(address string) rpc.Peer
-	// Trails returns the zones' trails that are known.
+	// Trails returns the known audit trails of the zones.
 	Trails func() []*auditor.Trail
-	// Repairs returns the record of a zone's repair.
+	// Repairs returns the repair record of a zone.
 	Repairs func(ctx context.Context, zone identifier.AvailabilityZone) (*repairer.Record, error)
-	// State, InFlight and PlatformReachable describe the daemon.
+	// State, InFlight and PlatformReachable return the daemon's state, its number of requests in
+	// flight, and whether it reaches the platform.
 	State             func() string
 	InFlight          func() int
 	PlatformReachable func() bool
-	// Drain starts a graceful stop.
+	// Drain starts a graceful shutdown.
 	Drain  func()
 	Logger *log.Logger
 }
 
-// Operator implements the operators' service.
+// Operator implements [rpc.Operator].
 type Operator struct {
 	c Config
 }
 
 var _ rpc.Operator = (*Operator)(nil)
 
-// New returns an operator service.
+// New returns an operators' service with the given configuration.
 func New(c Config) *Operator { return &Operator{c} }
 
-type nameKey struct{}
+// operatorNameKey is the context key of the operator's name.
+type operatorNameKey struct{}
 
-// Authenticate lets only calls with a known operator's key through.
+// Authenticate returns a handler that passes calls with a known operator's key to next and
+// rejects all others as unauthenticated.
 func (o *Operator) Authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		key, _ := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
@@ -109,11 +107,11 @@
 			_ = twirp.WriteError(w, twirp.NewError(twirp.Unauthenticated, "the key belongs to no operator"))
 			return
 		}
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), nameKey{}, name)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), operatorNameKey{}, name)))
 	})
 }
 
-// Validate checks a draft and changes nothing.
+// Validate checks a draft without applying it.
 func (o *Operator) Validate(_ context.Context, d *rpc.Draft) (*rpc.Verdict, error) {
 	if _, err := compiler.Compile(d.File, []byte(d.Source)); err != nil {
 		return &rpc.Verdict{Problems: err.Error()}, nil
@@ -121,21 +119,24 @@
 	return &rpc.Verdict{Valid: true}, nil
 }
 
-// Apply brings a draft into force.
+// Apply stores a draft as the new configuration and reports where it is in force. Errors are
+// InvalidArgument for an invalid draft, Aborted for a conflict with another change, Unknown if
+// the outcome is unknown, and Unavailable if nothing changed.
 func (o *Operator) Apply(ctx context.Context, d *rpc.Draft) (*rpc.Applied, error) {
-	who, _ := ctx.Value(nameKey{}).(string)
+	who, _ := ctx.Value(operatorNameKey{}).(string)
 	change, err := o.c.Applier.Apply(ctx, &applier.Draft{
 		File: d.File, Source: d.Source, From: identifier.ConfigurationNumber(d.From), Who: who,
 	})
 	if err != nil {
 		o.c.Logger.Warn("configuration not applied", "operator", who, "from", d.From, "error", err)
-		return nil, classify(err)
+		return nil, toTwirpError(err)
 	}
 	o.c.Logger.Info("configuration applied", "operator", who, "number", change.Number)
-	return o.spread(ctx, change.Number), nil
+	return o.confirmInForce(ctx, change.Number), nil
 }
 
-func classify(err error) error {
+// toTwirpError converts an error of the applier.
+func toTwirpError(err error) error {
 	var problems decoder.Problems
 	var conflict *applier.Conflict
 	switch {
@@ -149,16 +150,17 @@
 	return twirp.NewError(twirp.Unavailable, "nothing changed: "+err.Error())
 }
 
-// spread waits until the living peers have a number in force.
-func (o *Operator) spread(ctx context.Context, n identifier.ConfigurationNumber) *rpc.Applied {
+// confirmInForce waits until all live peers have configuration n or a newer one in force, at
+// most applyTimeout.
+func (o *Operator) confirmInForce(ctx context.Context, n identifier.ConfigurationNumber) *rpc.Applied {
 	out := &rpc.Applied{Number: uint64(n), InForce: []string{o.c.Ledger.Self().Host}}
 	waiting := o.c.Ledger.Alive()
 	reached := make(map[string]bool)
-	deadline := time.Now().Add(applyPatience)
+	deadline := time.Now().Add(applyTimeout)
 	for len(waiting) > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
-		waiting = o.ask(ctx, waiting, n, reached, out)
+		waiting = o.offer(ctx, waiting, n, reached, out)
 		if len(waiting) > 0 {
-			time.Sleep(applyPause)
+			time.Sleep(applyPollInterval)
 		}
 	}
 	for _, m := range waiting {
@@ -172,12 +174,11 @@
 	return out
 }
 
-// ask offers the configuration to peers and returns those that do not have it
-// yet.
-func (o *Operator) ask(ctx context.Context, peers []*rpc.Member, n identifier.ConfigurationNumber, reached map[string]bool, out *rpc.Applied) []*rpc.Member {
+// offer sends the configuration to peers and returns those that don't have it in force yet.
+func (o *Operator) offer(ctx context.Context, peers []*rpc.Member, n identifier.ConfigurationNumber, reached map[string]bool, out *rpc.Applied) []*rpc.Member {
 	var mu sync.Mutex
 	var left []*rpc.Member
-	o.each(ctx, peers, func(ctx context.Context, m *rpc.Member, p rpc.Peer) {
+	o.callPeers(ctx, peers, func(ctx context.Context, m *rpc.Member, p rpc.Peer) {
 		reply, err := p.Offer(ctx, gossiper.NewConfigurationReply(o.c.Keeper.Current()))
 		mu.Lock()
 		defer mu.Unlock()
@@ -191,9 +192,9 @@
 	return left
 }
 
-// each calls f for all peers, a bounded number at once.
-func (o *Operator) each(ctx context.Context, peers []*rpc.Member, f func(context.Context, *rpc.Member, rpc.Peer)) {
-	slots := make(chan struct{}, parallel)
+// callPeers calls f for all peers, for at most maxParallelCalls at the same time.
+func (o *Operator) callPeers(ctx context.Context, peers []*rpc.Member, f func(context.Context, *rpc.Member, rpc.Peer)) {
+	slots := make(chan struct{}, maxParallelCalls)
 	var group sync.WaitGroup
 	for _, m := range peers {
 		slots <- struct{}{}
@@ -207,7 +208,7 @@
 	group.Wait()
 }
 
-// Get returns the configuration in force at this daemon.
+// Get returns the configuration in force at this daemon, or a NotFound error if there is none.
 func (o *Operator) Get(context.Context, *rpc.ConfigurationRequest) (*rpc.ConfigurationReply, error) {
 	s := o.c.Keeper.Current()
 	if s == nil {
@@ -216,9 +217,9 @@
 	return gossiper.NewConfigurationReply(s), nil
 }
 
-// History returns the newest changes.
+// History returns the newest configuration changes.
 func (o *Operator) History(ctx context.Context, r *rpc.HistoryRequest) (*rpc.HistoryReply, error) {
-	changes, err := o.c.Applier.History(ctx, limit(r.Limit))
+	changes, err := o.c.Applier.History(ctx, boundedLimit(r.Limit))
 	if err != nil {
 		return nil, twirp.NewError(twirp.Unavailable, err.Error())
 	}
@@ -232,14 +233,16 @@
 	return out, nil
 }
 
-func limit(asked uint32) int {
+// boundedLimit returns the number of entries to return for a requested number, where 0 stands
+// for the default.
+func boundedLimit(asked uint32) int {
 	if asked == 0 {
 		return defaultLimit
 	}
 	return min(int(asked), maxLimit)
 }
 
-// Status describes the daemon and what it knows of the fleet.
+// Status returns the state of the daemon and its view of the fleet.
 func (o *Operator) Status(ctx context.Context, _ *rpc.StatusRequest) (*rpc.StatusReply, error) {
 	self := o.c.Ledger.Self()
 	out := &rpc.StatusReply{
@@ -249,14 +252,14 @@
 	}
 	endpoints := o.c.Registry.Endpoints()
 	for i := range endpoints {
-		out.Endpoints = append(out.Endpoints, status(&endpoints[i]))
+		out.Endpoints = append(out.Endpoints, endpointStatus(&endpoints[i]))
 	}
-	out.Repairs = o.repairs(ctx)
+	out.Repairs = o.repairStatuses(ctx)
 	return out, nil
 }
 
-// repairs compares each pool with its wanted size, zone by zone.
-func (o *Operator) repairs(ctx context.Context) []*rpc.RepairStatus {
+// repairStatuses compares the size of each pool with the wanted one in each zone.
+func (o *Operator) repairStatuses(ctx context.Context) []*rpc.RepairStatus {
 	s := o.c.Keeper.Current()
 	if s == nil {
 		return nil
@@ -265,13 +268,14 @@
 	for i := range s.Plan.Configuration.Pools {
 		p := &s.Plan.Configuration.Pools[i]
 		for _, w := range p.Wanted {
-			out = append(out, o.repair(ctx, &s.Plan.Configuration, p.Name, w))
+			out = append(out, o.repairStatus(ctx, &s.Plan.Configuration, p.Name, w))
 		}
 	}
 	return out
 }
 
-func (o *Operator) repair(ctx context.Context, c *document.Configuration, pool identifier.Pool, w document.Wanted) *rpc.RepairStatus {
+// repairStatus returns the size of a pool in a zone and what its repair would do next.
+func (o *Operator) repairStatus(ctx context.Context, c *document.Configuration, pool identifier.Pool, w document.Wanted) *rpc.RepairStatus {
 	v := &planner.Input{
 		Zone: w.AvailabilityZone, Pool: pool, Wanted: w.Hosts, Hosts: o.c.Registry.Hosts(), Leaving: o.c.Registry.HostLeaving,
 		Now: time.Now(), Prices: c.Prices, SpendingPerHour: c.Fleet.SpendingPerHour,
@@ -286,12 +290,13 @@
 	d := planner.Plan(v)
 	out.Live, out.Leaving, out.Asked = uint32(d.Live), uint32(d.Leaving), uint32(d.Pending)
 	if out.Doing == "" {
-		out.Doing = doing(&d)
+		out.Doing = describePlan(&d)
 	}
 	return out
 }
 
-func doing(d *planner.Decision) string {
+// describePlan returns the text of RepairStatus.Doing.
+func describePlan(d *planner.Decision) string {
 	switch {
 	case d.Shortfall > 0:
 		return fmt.Sprintf("%d cannot be started: %s", d.Shortfall, d.ShortfallReason)
@@ -305,7 +310,8 @@
 	return "nothing to do"
 }
 
-func status(c *candidate.Candidate) *rpc.EndpointStatus {
+// endpointStatus returns the status of an endpoint as this daemon sees it.
+func endpointStatus(c *candidate.Candidate) *rpc.EndpointStatus {
 	state := "usable"
 	switch {
 	case c.Leaving:
@@ -322,7 +328,7 @@
 	}
 }
 
-// ExplainRequestID finds the record of a request, here or at a living peer.
+// ExplainRequestID looks for the record of a request at this daemon, then at all live peers.
 func (o *Operator) ExplainRequestID(ctx context.Context, r *rpc.ExplainRequest) (*rpc.ExplainReply, error) {
 	if rec, ok := o.c.Recorder.Find(identifier.Request(r.Request)); ok {
 		text, err := json.Marshal(rec)
@@ -333,7 +339,7 @@
 	}
 	var mu sync.Mutex
 	out := &rpc.ExplainReply{}
-	o.each(ctx, o.c.Ledger.Alive(), func(ctx context.Context, _ *rpc.Member, p rpc.Peer) {
+	o.callPeers(ctx, o.c.Ledger.Alive(), func(ctx context.Context, _ *rpc.Member, p rpc.Peer) {
 		reply, err := p.Explain(ctx, r)
 		mu.Lock()
 		defer mu.Unlock()
@@ -344,12 +350,12 @@
 	return out, nil
 }
 
-// Audit merges the changes of configuration with the zones' trails, newest
-// first.
+// Audit returns configuration changes and the entries of the zones' audit trails, newest first.
+// For a single host it returns only audit trail entries.
 func (o *Operator) Audit(ctx context.Context, r *rpc.AuditRequest) (*rpc.AuditReply, error) {
 	out := &rpc.AuditReply{}
 	if r.Host == "" {
-		changes, err := o.c.Applier.History(ctx, limit(r.Limit))
+		changes, err := o.c.Applier.History(ctx, boundedLimit(r.Limit))
 		if err != nil {
 			return nil, twirp.NewError(twirp.Unavailable, err.Error())
 		}
@@ -364,12 +370,12 @@
 		}
 		for i := range entries {
 			if r.Host == "" || string(entries[i].Host) == r.Host {
-				out.Entries = append(out.Entries, trailEntry(&entries[i]))
+				out.Entries = append(out.Entries, auditEntry(&entries[i]))
 			}
 		}
 	}
 	slices.SortStableFunc(out.Entries, func(a, b *rpc.AuditEntry) int { return int(b.WhenUnixMilli - a.WhenUnixMilli) })
-	out.Entries = out.Entries[:min(limit(r.Limit), len(out.Entries))]
+	out.Entries = out.Entries[:min(boundedLimit(r.Limit), len(out.Entries))]
 	return out, nil
 }
 
@@ -380,15 +386,15 @@
 	}
 }
 
-func trailEntry(e *auditor.Entry) *rpc.AuditEntry {
+func auditEntry(e *auditor.Entry) *rpc.AuditEntry {
 	return &rpc.AuditEntry{
 		WhenUnixMilli: e.When.UnixMilli(), Who: e.Who, What: e.What, Cause: e.Cause, Outcome: e.Outcome, Host: string(e.Host),
 	}
 }
 
-// Drain starts a graceful stop of this daemon.
+// Drain starts a graceful shutdown of this daemon.
 func (o *Operator) Drain(ctx context.Context, _ *rpc.DrainRequest) (*rpc.DrainReply, error) {
-	who, _ := ctx.Value(nameKey{}).(string)
+	who, _ := ctx.Value(operatorNameKey{}).(string)
 	o.c.Logger.Info("drain", "operator", who)
 	o.c.Drain()
 	return &rpc.DrainReply{State: o.c.State()}, nil
--- a/internal/ops/server/server.go
+++ b/internal/ops/server/server.go
@@ -1,13 +1,13 @@
-// Package server runs an HTTP listener under a supervisor.
+// Package server runs an HTTP server under a supervisor.
+//
+// The server limits what a client can make last: the time and size of the request header and the
+// pause between two requests on a connection. The handler sets the timeout of the body, because
+// streams last longer than uploads.
 //
 // # Usage
 //
 //	s := server.New(server.Config{Listener: l, Handler: h, HeaderTimeout: 5 * time.Second})
 //	supervisor.Add(s)
-//
-// A server sets limits on everything that a sender can draw out: the header's
-// time and size, and the pause between two requests. The body's time is the
-// handler's to set, as streams last longer than uploads.
 package server
 
 import (
@@ -23,40 +23,44 @@
 	"github.com/thejerf/suture/v4"
 )
 
-const closeTime = 2 * time.Second
+// shutdownTimeout is how long Serve waits for active connections when its context ends.
+const shutdownTimeout = 2 * time.Second
 
-// Config names the listener and the limits.
+// Config holds the listener, the handler and the limits of a server.
 type Config struct {
-	Name          string
-	Listener      net.Listener
-	Handler       http.Handler
+	// Name identifies the server in errors and supervisor events.
+	Name     string
+	Listener net.Listener
+	Handler  http.Handler
+	// HeaderTimeout and HeaderBytes limit the request header.
 	HeaderTimeout time.Duration
 	HeaderBytes   int
-	IdleTimeout   time.Duration
+	// IdleTimeout limits the pause between two requests on a connection.
+	IdleTimeout time.Duration
 }
 
 // Server is a supervised HTTP server.
 type Server struct {
-	name string
-	l    net.Listener
-	http http.Server
+	name     string
+	listener net.Listener
+	http     http.Server
 }
 
 var _ suture.Service = (*Server)(nil)
 
-// New returns a server that has not started.
+// New returns a server that isn't running yet.
 func New(c Config) *Server {
-	return &Server{name: c.Name, l: c.Listener, http: http.Server{
+	return &Server{name: c.Name, listener: c.Listener, http: http.Server{
 		Handler: c.Handler, ReadHeaderTimeout: c.HeaderTimeout, MaxHeaderBytes: c.HeaderBytes,
 		IdleTimeout: c.IdleTimeout, ErrorLog: stdlog.New(io.Discard, "", 0),
 	}}
 }
 
-// Serve accepts connections until ctx ends; then it closes idle connections
-// and waits shortly for the others.
+// Serve accepts connections until ctx ends; then it closes idle connections and waits up to two
+// seconds for the others. A failed listener terminates the supervisor tree.
 func (s *Server) Serve(ctx context.Context) error {
 	failed := make(chan error, 1)
-	go func() { failed <- s.http.Serve(s.l) }()
+	go func() { failed <- s.http.Serve(s.listener) }()
 	select {
 	case err := <-failed:
 		if errors.Is(err, http.ErrServerClosed) {
@@ -65,7 +69,7 @@
 		return fmt.Errorf("%s: %w: %w", s.name, suture.ErrTerminateSupervisorTree, err)
 	case <-ctx.Done():
 	}
-	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTime)
+	stop, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	if err := s.http.Shutdown(stop); err != nil && !errors.Is(err, context.DeadlineExceeded) {
 		return fmt.Errorf("%s: %w", s.name, err)
@@ -74,9 +78,9 @@
 	return suture.ErrDoNotRestart
 }
 
-// Shutdown closes the listener and idle connections and waits until ctx ends
-// for requests to be answered. Serve goes on until its own context ends.
+// Shutdown closes the listener and idle connections and waits until ctx ends for active requests
+// to complete. Serve returns when Shutdown begins and isn't restarted.
 func (s *Server) Shutdown(ctx context.Context) error { return s.http.Shutdown(ctx) }
 
-// String names the server in the supervisor's events.
+// String returns the server's name, for supervisor events.
 func (s *Server) String() string { return s.name }
