--- a/.ci/words.sh
+++ b/.ci/words.sh
@@ -1,11 +1,11 @@
 #!/usr/bin/env bash
-# The hosting platform's own names stand in platform/ only, and platform/ decides
-# nothing: it imports types, and no package that chooses, waits or remembers.
+# Checks that names specific to the hosting platform occur only in platform/, and that platform/
+# contains no decisions: it may import types, but no package that selects, waits or keeps state.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 status=0
 
-# Headers, paths and fields of the platform that are not ordinary HTTP.
+# Headers, paths and fields that are specific to the platform, not standard HTTP.
 words='Response-Stamp|Not-Executed|Expect-Instance|Deadline-Ms|Prompt-Prefix|Token-Count|Server-Load|Server-Limit|Server-Leaving|Duty-Holder|Fencing-Token|Request-Urgency|Kv-From|Kv-Backup|Kv-Fetch|Pin-Ms|/api/objects|/api/ready|TrafficSplit|GapSloMs|KvTokens|SpotPrice|ApiKeys|DurationS|BRASSCHUTE_NODE_FILE'
 if git grep -nE "$words" -- '*.go' ':!platform/' ':!internal/standin/hosting/' ':!integration/' ':!*_test.go' ':!*.pb.go' ':!*.twirp.go'; then
   echo "names of the hosting platform outside platform/"
--- a/cmd/brasschute/main.go
+++ b/cmd/brasschute/main.go
@@ -1,5 +1,5 @@
-// Command brasschute runs every role of the system and its operators'
-// commands. See README.md.
+// Command brasschute runs the daemons of the system and the operators' commands. Run it without
+// arguments for a list; see also README.md.
 package main
 
 import (
--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -1,5 +1,5 @@
-// Command load sends one user's workload to a running daemon and prints what
-// its callers saw, as a row of the tables in docs/MEASUREMENTS.md.
+// Command load sends the workload of one of the example customers to a running daemon and prints
+// the results that clients saw, as a row of the tables in docs/MEASUREMENTS.md.
 package main
 
 import (
@@ -18,29 +18,29 @@
 )
 
 const (
-	defaultLength   = 30 * time.Second
-	defaultRequests = 10_000
-	defaultTarget   = 330 * time.Millisecond
+	defaultMaxDuration      = 30 * time.Second
+	defaultMaxRequests      = 10_000
+	defaultFirstTokenTarget = 330 * time.Millisecond
 )
 
 func main() { os.Exit(run(os.Args[1:])) }
 
 func run(args []string) int {
 	c := loadgenerator.Config{
-		Address: "127.0.0.1:8080", Model: "planning-model", Seed: 1, MaxDuration: defaultLength,
-		MaxRequests: defaultRequests, FirstTokenTarget: defaultTarget,
+		Address: "127.0.0.1:8080", Model: "planning-model", Seed: 1, MaxDuration: defaultMaxDuration,
+		MaxRequests: defaultMaxRequests, FirstTokenTarget: defaultFirstTokenTarget,
 	}
 	mix, rate, seed := "werkbrug", 0.0, 1
 	p := flaggy.NewParser("load")
-	p.Description = "sends a workload to a daemon and measures what callers see"
-	p.String(&c.Address, "a", "address", "the daemon's address for callers, IP:port")
+	p.Description = "sends a workload to a daemon and measures what clients see"
+	p.String(&c.Address, "a", "address", "the daemon's client address, IP:port")
 	p.String(&c.Key, "k", "key", "an organisation's key")
-	p.String(&c.Model, "m", "model", "the model service to ask")
+	p.String(&c.Model, "m", "model", "name of the model service")
 	p.String(&mix, "", "mix", "werkbrug or harrowby-trent")
-	p.Float64(&rate, "r", "rate", "requests a second; the mix's own if left out")
+	p.Float64(&rate, "r", "rate", "requests per second; by default the mix's own rate")
 	p.Int(&seed, "s", "seed", "seed of the workload")
-	p.Duration(&c.MaxDuration, "l", "length", "length of the run")
-	p.Int(&c.MaxRequests, "n", "requests", "most requests of the run")
+	p.Duration(&c.MaxDuration, "l", "length", "maximum duration of the run")
+	p.Int(&c.MaxRequests, "n", "requests", "maximum number of requests")
 	p.Duration(&c.FirstTokenTarget, "t", "target", "latency target of the first token")
 	if err := p.ParseArgs(args); err != nil {
 		fmt.Fprintln(os.Stderr, "load:", err)
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs small stand-ins for the platform, engines and plain
-// services, for trials and tests.
+// Command standin runs simple stand-ins for the platform, model engines and plain services, for
+// trials and tests.
 package main
 
 import (
