--- a/internal/ops/accesslogger/accesslogger_test.go
+++ b/internal/ops/accesslogger/accesslogger_test.go
@@ -30,10 +30,10 @@
 // an operator needs.
 func TestLineRate(t *testing.T) {
 	var out bytes.Buffer
-	c := New(Config{Logger: logger.New(logger.Config{Level: "info", Format: "json", Output: &out}), Metrics: tally.NoopScope})
+	l := New(Config{Logger: logger.New(logger.Config{Level: "info", Format: "json", Output: &out}), Metrics: tally.NoopScope})
 	q, r := failedRequest()
 	for range 10 * maxFailedLinesPerSecond {
-		c.RequestEnded(q, r)
+		l.RequestEnded(q, r)
 	}
 	lines := strings.Count(out.String(), "\n")
 	if lines < maxFailedLinesPerSecond || lines > 2*maxFailedLinesPerSecond {
@@ -49,12 +49,12 @@
 // BenchmarkLine logs one failed request, which takes about 9.5 µs and 363 bytes.
 func BenchmarkLine(b *testing.B) {
 	var out bytes.Buffer
-	c := New(Config{Logger: logger.New(logger.Config{Level: "info", Format: "json", Output: &out}), Metrics: tally.NoopScope})
+	l := New(Config{Logger: logger.New(logger.Config{Level: "info", Format: "json", Output: &out}), Metrics: tally.NoopScope})
 	q, r := failedRequest()
 	b.ReportAllocs()
 	for b.Loop() {
 		out.Reset()
-		c.logLine(q, r, time.Millisecond)
+		l.logLine(q, r, time.Millisecond)
 	}
 	b.ReportMetric(float64(out.Len()), "bytes/line")
 }
--- a/internal/ops/asyncwriter/asyncwriter_test.go
+++ b/internal/ops/asyncwriter/asyncwriter_test.go
@@ -30,21 +30,21 @@
 func TestBlockedOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockedOutput{released: make(chan struct{})}
-		q := New(Config{Output: out, Lines: 10})
+		w := New(Config{Output: out, Lines: 10})
 		ctx, cancel := context.WithCancel(t.Context())
-		go func() { _ = q.Serve(ctx) }()
+		go func() { _ = w.Serve(ctx) }()
 		const lines = 100
 		for n := range lines {
-			fmt.Fprintf(q, "line %d\n", n)
+			fmt.Fprintf(w, "line %d\n", n)
 		}
 		synctest.Wait()
-		dropped := q.Dropped()
+		dropped := w.Dropped()
 		if dropped < lines-12 {
 			t.Errorf("%d lines dropped", dropped)
 		}
 		close(out.released)
 		synctest.Wait()
-		fmt.Fprintf(q, "the last line\n")
+		fmt.Fprintf(w, "the last line\n")
 		synctest.Wait()
 		text := out.written.String()
 		if reported := reportedMissing(t, text); reported != dropped || !strings.HasSuffix(text, "the last line\n") {
@@ -81,10 +81,10 @@
 // Lines that are queued when the process ends must still be written.
 func TestFlush(t *testing.T) {
 	var out bytes.Buffer
-	q := New(Config{Output: &out})
-	fmt.Fprint(q, "a\n")
-	fmt.Fprint(q, "b\n")
-	q.Flush()
+	w := New(Config{Output: &out})
+	fmt.Fprint(w, "a\n")
+	fmt.Fprint(w, "b\n")
+	w.Flush()
 	if out.String() != "a\nb\n" {
 		t.Errorf("written: %q", out.String())
 	}
