--- a/internal/fault/shaper/shaper.go
+++ b/internal/fault/shaper/shaper.go
@@ -3,8 +3,9 @@
 // Faults caused by saturated links don't occur on a loopback interface, and a proxy that slows
 // down real connections takes real time. Connections of a [Shaper] are in-memory pipes. Their
 // segments are sent one after another, and each occupies the sender's and the receiver's link
-// for its transmission time, by the runtime's clock. In a test with a fake clock (testing/synctest), a fleet of sixty hosts
-// behind slow links takes no real time and its timing is the same on every machine.
+// for its transmission time, by the runtime's clock. In a test with a fake clock
+// (testing/synctest), a fleet of sixty hosts behind slow links takes no real time and its timing
+// is the same on every machine.
 //
 // A writer occupies a link for one segment at a time, so connections that share a link get equal
 // shares of it, as with TCP. There is no packet loss and no buffering: a reader that doesn't
