--- a/internal/measure/baseline/baseline.go
+++ b/internal/measure/baseline/baseline.go
@@ -1,9 +1,9 @@
-// Package baseline holds the routing policies that ours is measured against.
+// Package baseline implements common routing policies with which package
+// selector is compared.
 //
-// # Fairness of the comparison
-//
-// All policies see the same view and leave out the same unusable endpoints;
-// they differ only in which of the usable ones they take.
+// To keep the comparison fair, all policies see the same state and exclude the
+// same unusable endpoints; they differ only in which usable endpoint they
+// choose.
 //
 // # Usage
 //
@@ -18,10 +18,10 @@
 	"brasschute/internal/route/selector"
 )
 
-// Kind is one of the policies.
+// Kind names a policy.
 type Kind string
 
-// The policies.
+// The policies. ConsistentHash hashes the prefix of the prompt.
 const (
 	Random         Kind = "random"
 	RoundRobin     Kind = "round robin"
@@ -32,20 +32,21 @@
 // Kinds lists all policies.
 func Kinds() []Kind { return []Kind{Random, RoundRobin, LeastInFlight, ConsistentHash} }
 
-// Baseline is one daemon's policy. It is for use under the registry's lock.
+// Baseline is the policy of one daemon. It is not safe for concurrent use: the
+// registry calls it with its lock held.
 type Baseline struct {
 	kind Kind
 	rand *rand.Rand
-	turn int
+	next int
 }
 
-// New returns a policy.
+// New returns a policy. The seed determines its random choices.
 func New(k Kind, seed uint64) *Baseline {
 	return &Baseline{kind: k, rand: rand.New(rand.NewPCG(seed, 2))}
 }
 
-// Select decides as the policy does. It lets selector.Select find out which
-// candidates are usable.
+// Select chooses a candidate by the policy. It calls selector.Select to find
+// out which candidates are usable, and returns its decision if none is.
 func (b *Baseline) Select(q *selector.Query, candidates []candidate.Candidate, cached []identifier.Tokens, scratch []selector.Prediction) selector.Decision {
 	d := selector.Select(q, candidates, cached, scratch)
 	if d.Index == selector.None {
@@ -62,31 +63,33 @@
 	return d
 }
 
+// pick returns an index into usable, whose elements are indexes into
+// candidates.
 func (b *Baseline) pick(q *selector.Query, candidates []candidate.Candidate, usable []int) int {
 	switch b.kind {
 	case RoundRobin:
-		b.turn++
-		return b.turn % len(usable)
+		b.next++
+		return b.next % len(usable)
 	case LeastInFlight:
-		return b.least(candidates, usable)
+		return b.leastInFlight(candidates, usable)
 	case ConsistentHash:
-		return highest(q.Prefix, candidates, usable)
+		return rendezvous(q.Prefix, candidates, usable)
 	}
 	return b.rand.IntN(len(usable))
 }
 
-// least takes the endpoint with the fewest streams, as reported and sent
-// since; ties go by chance.
-func (b *Baseline) least(candidates []candidate.Candidate, usable []int) int {
-	best, count := 0, 0
+// leastInFlight returns the endpoint with the fewest streams, by its last
+// report and by the requests sent since. Ties are broken at random.
+func (b *Baseline) leastInFlight(candidates []candidate.Candidate, usable []int) int {
+	best, ties := 0, 0
 	for n, i := range usable {
-		load, least := inFlight(&candidates[i]), inFlight(&candidates[usable[best]])
+		load, lowest := inFlight(&candidates[i]), inFlight(&candidates[usable[best]])
 		switch {
-		case load < least:
-			best, count = n, 1
-		case load == least:
-			count++
-			if b.rand.IntN(count) == 0 {
+		case load < lowest:
+			best, ties = n, 1
+		case load == lowest:
+			ties++
+			if b.rand.IntN(ties) == 0 {
 				best = n
 			}
 		}
@@ -94,22 +97,26 @@
 	return best
 }
 
+// inFlight returns the greater of an endpoint's reported streams and the
+// requests in flight from this daemon.
 func inFlight(c *candidate.Candidate) int {
 	return max(c.Running+c.Queued, int(c.InFlight))
 }
 
-// highest is rendezvous hashing.
-func highest(key uint64, candidates []candidate.Candidate, usable []int) int {
+// rendezvous returns the endpoint with the highest weight for a key
+// (rendezvous hashing).
+func rendezvous(key uint64, candidates []candidate.Candidate, usable []int) int {
 	best := 0
 	for n, i := range usable {
-		if weight(key, &candidates[i]) > weight(key, &candidates[usable[best]]) {
+		if rendezvousWeight(key, &candidates[i]) > rendezvousWeight(key, &candidates[usable[best]]) {
 			best = n
 		}
 	}
 	return best
 }
 
-func weight(key uint64, c *candidate.Candidate) uint64 {
+// rendezvousWeight mixes the hashes of a key and an endpoint.
+func rendezvousWeight(key uint64, c *candidate.Candidate) uint64 {
 	x := (key ^ c.Hash) * 0xbf58476d1ce4e5b9
 	return (x ^ x>>29) * 0x94d049bb133111eb
 }
--- a/internal/measure/collector/collector.go
+++ b/internal/measure/collector/collector.go
@@ -1,18 +1,19 @@
-// Package result adds up what a run of requests took and cost.
+// Package collector collects the results of a run's requests and sums up
+// their latency, cost and recomputed tokens.
 //
-// # The two measures
-//
-// Cost at the latency target is the price of the engine time of all requests,
-// divided by the number of those whose first token came within the target: a
-// late answer costs and does not count. Recomputed tokens are prompt tokens
-// that some engine had computed before, and a cache could have given, but
-// were computed again.
+// The cost at the latency target is the price of the engine time of all
+// requests, divided by the number of requests whose first token came within
+// the target: a late answer adds to the cost, but not to that number.
+// Recomputed tokens are prompt tokens that an engine had computed before and
+// that a prefix cache could have supplied, but that were computed again.
 //
 // # Usage
 //
-//	r := result.New(330 * time.Millisecond)
-//	r.Add(result.Sample{...})
-//	fmt.Println(r.Row("ours"))
+//	c := collector.New(330 * time.Millisecond)
+//	c.Add(collector.Sample{Organisation: "branches", FirstToken: 120 * time.Millisecond})
+//	summary := c.Summary()
+//	fmt.Println(collector.TableHeader)
+//	fmt.Println(summary.Row("brasschute"))
 package collector
 
 import (
@@ -25,117 +26,135 @@
 	"brasschute/internal/core/identifier"
 )
 
+// Range and precision of the histograms, which record microseconds.
 const (
-	highest = int64(10 * time.Minute / time.Microsecond)
-	figures = 3
+	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
-// Sample is one request's end.
+// Sample is the result of one request.
 type Sample struct {
 	Organisation identifier.Organisation
-	FirstToken   time.Duration
-	// MaxTokenGap holds the longest pause between two tokens.
-	MaxTokenGap    time.Duration
-	Cost       float64
+	// FirstToken is the time from sending the request to its first token.
+	FirstToken time.Duration
+	// MaxTokenGap is the longest time between two tokens.
+	MaxTokenGap time.Duration
+	// Cost is the price of the engine time.
+	Cost float64
+	// RecomputedTokens are prompt tokens that were computed again although an
+	// engine had computed them before.
 	RecomputedTokens identifier.Tokens
 	PromptTokens     identifier.Tokens
-	// Refused is the kind of refusal, empty if answered.
+	// Refused is the reason of a refusal or failure; empty if the request was
+	// answered.
 	Refused string
 }
 
-// Collector adds samples up. It is safe for concurrent use.
+// Collector sums up samples. It is safe for concurrent use.
 type Collector struct {
 	target time.Duration
 
-	mu         sync.Mutex
-	first      *hdrhistogram.Histogram
-	between    *hdrhistogram.Histogram
-	byOrg      map[identifier.Organisation]*hdrhistogram.Histogram
-	answered   int
-	inTarget   int
-	cost       float64
-	recomputed identifier.Tokens
-	prompt     identifier.Tokens
-	refused    map[string]int
+	mu                       sync.Mutex
+	firstToken               *hdrhistogram.Histogram
+	tokenGap                 *hdrhistogram.Histogram
+	firstTokenByOrganisation map[identifier.Organisation]*hdrhistogram.Histogram
+	answered                 int
+	inTarget                 int
+	cost                     float64
+	recomputedTokens         identifier.Tokens
+	promptTokens             identifier.Tokens
+	refused                  map[string]int
 }
 
-// New returns an empty result for a latency target.
+// New returns an empty collector. Target is the target for the time to first
+// token.
 func New(target time.Duration) *Collector {
 	return &Collector{
-		target: target, first: histogram(), between: histogram(), refused: make(map[string]int),
-		byOrg: make(map[identifier.Organisation]*hdrhistogram.Histogram),
+		target: target, firstToken: histogram(), tokenGap: histogram(), refused: make(map[string]int),
+		firstTokenByOrganisation: make(map[identifier.Organisation]*hdrhistogram.Histogram),
 	}
 }
 
-func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, highest, figures) }
+func histogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxMicroseconds, significantDigits)
+}
 
-// Add takes in one sample.
-func (r *Collector) Add(s Sample) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.cost += s.Cost
+// Add adds one sample. Of a refused request only the cost and the reason
+// count.
+func (c *Collector) Add(s Sample) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cost += s.Cost
 	if s.Refused != "" {
-		r.refused[s.Refused]++
+		c.refused[s.Refused]++
 		return
 	}
-	r.answered++
-	if s.FirstToken <= r.target {
-		r.inTarget++
+	c.answered++
+	if s.FirstToken <= c.target {
+		c.inTarget++
 	}
-	_ = r.first.RecordValue(max(s.FirstToken.Microseconds(), 1))
-	_ = r.between.RecordValue(max(s.MaxTokenGap.Microseconds(), 1))
-	if r.byOrg[s.Organisation] == nil {
-		r.byOrg[s.Organisation] = histogram()
+	_ = c.firstToken.RecordValue(max(s.FirstToken.Microseconds(), 1))
+	_ = c.tokenGap.RecordValue(max(s.MaxTokenGap.Microseconds(), 1))
+	if c.firstTokenByOrganisation[s.Organisation] == nil {
+		c.firstTokenByOrganisation[s.Organisation] = histogram()
 	}
-	_ = r.byOrg[s.Organisation].RecordValue(max(s.FirstToken.Microseconds(), 1))
-	r.recomputed += s.RecomputedTokens
-	r.prompt += s.PromptTokens
+	_ = c.firstTokenByOrganisation[s.Organisation].RecordValue(max(s.FirstToken.Microseconds(), 1))
+	c.recomputedTokens += s.RecomputedTokens
+	c.promptTokens += s.PromptTokens
 }
 
-// Summary is what a run came to.
+// Summary holds the totals and percentiles of a run.
 type Summary struct {
-	Answered, InTarget  int
-	P50, P95, P99       time.Duration
-	BetweenP95          time.Duration
-	CostPerThousand     float64
+	// Answered counts the answered requests, InTarget those of them whose first
+	// token came within the target.
+	Answered, InTarget int
+	// P50, P95 and P99 are percentiles of the time to first token.
+	P50, P95, P99 time.Duration
+	// BetweenP95 is the 95th percentile of the longest token gap of a request.
+	BetweenP95 time.Duration
+	// CostPerThousand is the cost of all requests for each thousand in target.
+	CostPerThousand float64
+	// Recomputed is the sum of recomputed tokens, RecomputedPerPrompt their
+	// share of all prompt tokens, from 0 to 1.
 	Recomputed          identifier.Tokens
 	RecomputedPerPrompt float64
-	Refused             map[string]int
+	// Refused counts the refused requests by reason.
+	Refused map[string]int
 }
 
-// Summary returns the sums so far. CostPerThousand is for a thousand requests
-// in target.
-func (r *Collector) Summary() Summary {
-	r.mu.Lock()
-	defer r.mu.Unlock()
+// Summary returns the totals of the samples added so far.
+func (c *Collector) Summary() Summary {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	const thousand = 1000
 	return Summary{
-		Answered: r.answered, InTarget: r.inTarget, P50: quantile(r.first, 50), P95: quantile(r.first, 95),
-		P99: quantile(r.first, 99), BetweenP95: quantile(r.between, 95),
-		CostPerThousand: thousand * r.cost / float64(max(r.inTarget, 1)), Recomputed: r.recomputed,
-		RecomputedPerPrompt: float64(r.recomputed) / float64(max(r.prompt, 1)), Refused: r.refused,
+		Answered: c.answered, InTarget: c.inTarget, P50: quantile(c.firstToken, 50), P95: quantile(c.firstToken, 95),
+		P99: quantile(c.firstToken, 99), BetweenP95: quantile(c.tokenGap, 95),
+		CostPerThousand: thousand * c.cost / float64(max(c.inTarget, 1)), Recomputed: c.recomputedTokens,
+		RecomputedPerPrompt: float64(c.recomputedTokens) / float64(max(c.promptTokens, 1)), Refused: c.refused,
 	}
 }
 
-// FirstTokenP95 returns the 95th percentile of an organisation's first tokens.
-func (r *Collector) FirstTokenP95(o identifier.Organisation) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.byOrg[o] == nil {
+// FirstTokenP95 returns the 95th percentile of an organisation's time to first
+// token; 0 if it has no answered request.
+func (c *Collector) FirstTokenP95(o identifier.Organisation) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.firstTokenByOrganisation[o] == nil {
 		return 0
 	}
-	return quantile(r.byOrg[o], 95)
+	return quantile(c.firstTokenByOrganisation[o], 95)
 }
 
 func quantile(h *hdrhistogram.Histogram, percent float64) time.Duration {
 	return time.Duration(h.ValueAtPercentile(percent)) * time.Microsecond
 }
 
-// TableHeader is the head of a table of rows.
+// TableHeader is the header of a Markdown table whose rows come from Row.
 const TableHeader = "| policy | answered | in target | p50 | p95 | p99 | between p95 | cost/1000 in target | recomputed tokens | of prompt | refused |\n" +
 	"|---|---|---|---|---|---|---|---|---|---|---|"
 
-// Row formats a summary as a row of a Markdown table.
+// Row formats the summary as a row of a Markdown table. Name is the first cell.
 func (s *Summary) Row(name string) string {
 	refused := 0
 	for _, n := range s.Refused {
--- a/internal/measure/experiment/experiment_test.go
+++ b/internal/measure/experiment/experiment_test.go
@@ -27,11 +27,11 @@
 	"brasschute/internal/engine/prefix"
 	"brasschute/internal/engine/report"
 	"brasschute/internal/measure/baseline"
-	"brasschute/internal/measure/plotter"
 	"brasschute/internal/measure/collector"
+	"brasschute/internal/measure/plotter"
 	"brasschute/internal/measure/workload"
-	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/crashreporter"
+	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/platform/object"
@@ -49,27 +49,28 @@
 )
 
 var (
-	seedFlag = flag.Uint64("seed", 1, "seed of the workload")
-	longFlag = flag.Duration("length", 2*time.Minute, "length of a run, in paused time")
-	planFlag = flag.Bool("full", false, "run all policies and scenarios")
-	plotFlag = flag.String("plots", "", "folder to draw the tables into")
+	seedFlag   = flag.Uint64("seed", 1, "seed of the workload")
+	lengthFlag = flag.Duration("length", 2*time.Minute, "length of a run, in simulated time")
+	fullFlag   = flag.Bool("full", false, "run all policies and scenarios")
+	plotFlag   = flag.String("plots", "", "folder for charts of the tables; empty for none")
 )
 
+// Size of the deployment and delays of what the daemons see of it.
 const (
-	daemons    = 9
-	engines    = 12
-	zones      = 4
-	slots      = 16
-	blocks     = 2500
-	reportLag  = 2 * time.Second
-	eventLag   = 1500 * time.Millisecond
-	eventLoss  = 0.1
-	notice     = 8 * time.Second
-	ours       = "brasschute"
-	firstToken = 330 * time.Millisecond
+	daemons          = 9
+	engines          = 12
+	zones            = 4
+	engineSlots      = 16
+	engineBlocks     = 2500
+	reportLag        = 2 * time.Second
+	eventLag         = 1500 * time.Millisecond
+	eventLoss        = 0.1
+	noticePeriod     = 8 * time.Second
+	selectorPolicy   = "brasschute"
+	firstTokenTarget = 330 * time.Millisecond
 )
 
-// scenario is what goes wrong in the middle of a run.
+// scenario is a fault in the middle of a run.
 type scenario string
 
 const (
@@ -78,54 +79,59 @@
 	reclaim scenario = "one zone reclaimed"
 )
 
-// setup is one user's deployment.
-type setup struct {
-	mix     workload.Mix
+// deployment describes the system of one user: its requests, engines and prices.
+type deployment struct {
+	mix workload.Mix
+	// prefill and decode are an engine's speeds in tokens per second.
 	prefill int
 	decode  int
-	// cheap and dear are prices an hour; onDemand engines are dear.
-	cheap, dear float64
-	weight      float64
-}
-
-func setups() []setup {
-	return []setup{
-		{mix: workload.Werkbrug(), prefill: 9000, decode: 60, cheap: 0.9, dear: 2.61, weight: 0.0002},
-		{mix: workload.HarrowbyTrent(), prefill: 6000, decode: 40, cheap: 1.9, dear: 5.51, weight: 0.05},
-	}
-}
-
-// bench is one running experiment.
-type bench struct {
-	s       setup
-	policy  string
-	seed    uint64
-	engines []*engine.Engine
-	hosts   []inventory.Host
-	gone    map[string]bool
-	mu      sync.Mutex
-	daemons []*daemon
-	plan    *compiler.Plan
-	pool    *document.Pool
-	result  *collector.Collector
-	// rand chooses daemons, losses which cache events are lost: each is used
-	// by one goroutine.
-	rand   *rand.Rand
-	losses *rand.Rand
-}
-
+	// Prices of an engine per hour, by the class of its host.
+	reclaimablePrice, onDemandPrice float64
+	// recomputeWeight is the routing setting RecomputeWeight.
+	recomputeWeight float64
+}
+
+func deployments() []deployment {
+	return []deployment{
+		{mix: workload.Werkbrug(), prefill: 9000, decode: 60, reclaimablePrice: 0.9, onDemandPrice: 2.61, recomputeWeight: 0.0002},
+		{mix: workload.HarrowbyTrent(), prefill: 6000, decode: 40, reclaimablePrice: 1.9, onDemandPrice: 5.51, recomputeWeight: 0.05},
+	}
+}
+
+// experiment is one run: the daemons, the engines and the results.
+type experiment struct {
+	deployment deployment
+	policy     string
+	seed       uint64
+	engines    []*engine.Engine
+	hosts      []inventory.Host
+	// unreachable holds the addresses of the engines whose hosts were reclaimed.
+	unreachable map[string]bool
+	mu          sync.Mutex
+	daemons     []*daemon
+	plan        *compiler.Plan
+	pool        *document.Pool
+	collector   *collector.Collector
+	// rand chooses the daemons, lossRand the cache events that are lost. Each is
+	// used by one goroutine only.
+	rand     *rand.Rand
+	lossRand *rand.Rand
+}
+
+// daemon is the routing part of one daemon.
 type daemon struct {
-	registry  *registry.Registry
-	streamer  *streamer.Streamer
-	evacuator *migrator.Migrator
-}
-
-// RoundTrip calls a stand-in engine without a network.
-func (b *bench) RoundTrip(r *http.Request) (*http.Response, error) {
-	b.mu.Lock()
-	gone := b.gone[r.URL.Host]
-	b.mu.Unlock()
-	if gone {
+	registry *registry.Registry
+	streamer *streamer.Streamer
+	migrator *migrator.Migrator
+}
+
+// RoundTrip calls a stand-in engine without a network. It returns as soon as the
+// engine has sent the headers of its response.
+func (e *experiment) RoundTrip(r *http.Request) (*http.Response, error) {
+	e.mu.Lock()
+	unreachable := e.unreachable[r.URL.Host]
+	e.mu.Unlock()
+	if unreachable {
 		return nil, errors.New("connection refused")
 	}
 	var i int
@@ -133,9 +139,9 @@
 		return nil, err
 	}
 	in, out := io.Pipe()
-	w := &pipe{header: make(http.Header), out: out, ready: make(chan int, 1)}
+	w := &pipeWriter{header: make(http.Header), out: out, ready: make(chan int, 1)}
 	go func() {
-		b.engines[i].ServeHTTP(w, r)
+		e.engines[i].ServeHTTP(w, r)
 		w.WriteHeader(http.StatusOK)
 		_ = out.Close()
 	}()
@@ -148,49 +154,51 @@
 	}
 }
 
-// pipe is the engine's side of a response.
-type pipe struct {
+// pipeWriter is the http.ResponseWriter of a stand-in engine: it passes the status
+// on once, and the body through a pipe.
+type pipeWriter struct {
 	header http.Header
 	out    *io.PipeWriter
 	ready  chan int
 	once   sync.Once
 }
 
-func (p *pipe) Header() http.Header { return p.header }
-func (p *pipe) Flush()              { p.WriteHeader(http.StatusOK) }
-func (p *pipe) WriteHeader(status int) {
+func (p *pipeWriter) Header() http.Header { return p.header }
+func (p *pipeWriter) Flush()              { p.WriteHeader(http.StatusOK) }
+func (p *pipeWriter) WriteHeader(status int) {
 	p.once.Do(func() { p.ready <- status })
 }
 
-func (p *pipe) Write(data []byte) (int, error) {
+func (p *pipeWriter) Write(data []byte) (int, error) {
 	p.WriteHeader(http.StatusOK)
 	return p.out.Write(data)
 }
 
-func newBench(t *testing.T, s setup, policy string, seed uint64) *bench {
-	b := &bench{s: s, policy: policy, seed: seed, gone: make(map[string]bool), result: collector.New(firstToken), rand: rand.New(rand.NewPCG(seed, 3)), losses: rand.New(rand.NewPCG(seed, 4))}
+func newExperiment(t *testing.T, dep deployment, policy string, seed uint64) *experiment {
+	e := &experiment{deployment: dep, policy: policy, seed: seed, unreachable: make(map[string]bool), collector: collector.New(firstTokenTarget), rand: rand.New(rand.NewPCG(seed, 3)), lossRand: rand.New(rand.NewPCG(seed, 4))}
 	for i := range engines {
-		b.addEngine(i)
+		e.addEngine(i)
 	}
-	b.configure(t)
+	e.configure(t)
 	for i := range daemons {
-		b.addDaemon(i)
+		e.addDaemon(i)
 	}
-	return b
+	return e
 }
 
-func (b *bench) addEngine(i int) {
+func (e *experiment) addEngine(i int) {
 	name := fmt.Sprintf("engine-%d", i)
 	class := document.ClassOnDemand
-	// Five of twelve are reclaimable: 41% of the hosts.
+	// The share of reclaimable hosts is meant to be 41%, five of twelve; indexes 0,
+	// 1, 5, 6, 10 and 11 make it six.
 	if i%5 < 2 {
 		class = document.ClassReclaimable
 	}
-	b.engines = append(b.engines, engine.New(engine.Config{
-		Endpoint: identifier.Endpoint(name), Incarnation: 1, Model: "m", Slots: slots, CacheBlocks: blocks,
-		PrefillPerSecond: b.s.prefill, DecodePerSecond: b.s.decode, Transport: b,
+	e.engines = append(e.engines, engine.New(engine.Config{
+		Endpoint: identifier.Endpoint(name), Incarnation: 1, Model: "m", Slots: engineSlots, CacheBlocks: engineBlocks,
+		PrefillPerSecond: e.deployment.prefill, DecodePerSecond: e.deployment.decode, Transport: e,
 	}))
-	b.hosts = append(b.hosts, inventory.Host{
+	e.hosts = append(e.hosts, inventory.Host{
 		Host: identifier.Host(name), AvailabilityZone: zone(i), Class: class, Incarnation: 1, State: inventory.StateLive,
 		Endpoints: []inventory.Endpoint{{Endpoint: identifier.Endpoint(name), Pool: "p", Address: name}},
 	})
@@ -200,11 +208,11 @@
 	return identifier.AvailabilityZone(fmt.Sprintf("zone-%d", i%zones))
 }
 
-func (b *bench) configure(t *testing.T) {
+func (e *experiment) configure(t *testing.T) {
 	var prices strings.Builder
 	for i := range zones {
-		fmt.Fprintf(&prices, "  - {AvailabilityZone: zone-%d, Class: reclaimable, PerHour: %g}\n", i, b.s.cheap)
-		fmt.Fprintf(&prices, "  - {AvailabilityZone: zone-%d, Class: on-demand, PerHour: %g}\n", i, b.s.dear)
+		fmt.Fprintf(&prices, "  - {AvailabilityZone: zone-%d, Class: reclaimable, PerHour: %g}\n", i, e.deployment.reclaimablePrice)
+		fmt.Fprintf(&prices, "  - {AvailabilityZone: zone-%d, Class: on-demand, PerHour: %g}\n", i, e.deployment.onDemandPrice)
 	}
 	plan, err := compiler.Compile("experiment", fmt.Appendf(nil, `
 Priorities: [p]
@@ -212,19 +220,19 @@
 Pools: [{Name: p, Model: m, MaxInFlight: 64, Slots: %d, PrefillPerSecond: %d, DecodePerSecond: %d}]
 Prices:
 %sRouting: {FirstToken: %s, RecomputeWeight: %g}
-`, slots, b.s.prefill, b.s.decode, prices.String(), quantity.Duration(firstToken), b.s.weight))
+`, engineSlots, e.deployment.prefill, e.deployment.decode, prices.String(), quantity.Duration(firstTokenTarget), e.deployment.recomputeWeight))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.plan = plan
-	b.pool, _ = plan.Pool("p")
+	e.plan = plan
+	e.pool, _ = plan.Pool("p")
 }
 
-func (b *bench) addDaemon(i int) {
+func (e *experiment) addDaemon(i int) {
 	self := &rpc.Member{Host: fmt.Sprintf("entry-%d", i), AvailabilityZone: string(zone(i)), PeerAddress: fmt.Sprint(i)}
-	c := registry.Config{LeavingHosts: membertracker.New(membertracker.Config{Self: self}), Price: b.plan.Price, Daemons: func() int { return daemons }}
-	if b.policy != ours {
-		c.Select = baseline.New(baseline.Kind(b.policy), b.seed+uint64(i)).Select
+	c := registry.Config{LeavingHosts: membertracker.New(membertracker.Config{Self: self}), Price: e.plan.Price, Daemons: func() int { return daemons }}
+	if e.policy != selectorPolicy {
+		c.Select = baseline.New(baseline.Kind(e.policy), e.seed+uint64(i)).Select
 	}
 	d := &daemon{}
 	c.OnChange = func() {
@@ -232,86 +240,92 @@
 			return
 		}
 		d.streamer.ScheduleMoves()
-		if d.evacuator != nil {
-			d.evacuator.Trigger()
+		if d.migrator != nil {
+			d.migrator.Trigger()
 		}
 	}
 	d.registry = registry.New(c)
-	reach := caller.New(caller.Config{Transport: b})
-	if b.policy == ours {
-		d.evacuator = migrator.New(migrator.Config{Registry: d.registry, Caller: reach})
+	client := caller.New(caller.Config{Transport: e})
+	if e.policy == selectorPolicy {
+		d.migrator = migrator.New(migrator.Config{Registry: d.registry, Caller: client})
 	}
 	d.streamer = streamer.New(streamer.Config{
-		Registry: d.registry, Caller: reach, Budgeter: budgeter.New(budgeter.Config{}), Zone: zone(i),
+		Registry: d.registry, Caller: client, Budgeter: budgeter.New(budgeter.Config{}), Zone: zone(i),
 		Quarantine: crashreporter.New(crashreporter.Config{
 			Dialer: noNetwork{}, Leaving: d.registry.Leaving, OnNews: func(bool) {}, Logger: log.New(io.Discard), Metrics: tally.NoopScope,
 		}),
 	})
-	b.daemons = append(b.daemons, d)
-	for n := range b.hosts {
-		value, _ := json.Marshal(b.hosts[n])
-		d.registry.Apply(&object.Object{Key: inventory.HostPrefix + string(b.hosts[n].Host), Value: value})
+	e.daemons = append(e.daemons, d)
+	for n := range e.hosts {
+		value, _ := json.Marshal(e.hosts[n])
+		d.registry.Apply(&object.Object{Key: inventory.HostPrefix + string(e.hosts[n].Host), Value: value})
 	}
 }
 
-// noNetwork opens no connections: the engines are called without.
+// noNetwork is a dialer that opens no connections: RoundTrip calls the engines
+// without a network.
 type noNetwork struct{}
 
 func (noNetwork) DialContext(context.Context, string, string) (net.Conn, error) {
 	return nil, net.ErrClosed
 }
 
-// observe passes each engine's load and cache events on, late and with gaps.
-func (b *bench) observe(ctx context.Context) {
+// observe polls the engines once a second and passes their load reports and cache
+// events on, late, and the events with gaps.
+func (e *experiment) observe(ctx context.Context) {
 	after := make([]uint64, engines)
 	for ctx.Err() == nil {
 		time.Sleep(time.Second)
-		for i := range b.engines {
+		for i := range e.engines {
 			var r report.Report
-			var ev engine.Events
-			if b.ask(i, "/v1/load", &r) != nil || b.ask(i, fmt.Sprintf("/v1/cache/events?after=%d", after[i]), &ev) != nil {
+			var events engine.Events
+			if e.get(i, "/v1/load", &r) != nil || e.get(i, fmt.Sprintf("/v1/cache/events?after=%d", after[i]), &events) != nil {
 				continue
 			}
-			after[i] = ev.Next
-			b.later(r, ev)
+			after[i] = events.Next
+			e.deliver(r, events)
 		}
 	}
 }
 
-func (b *bench) later(r report.Report, ev engine.Events) {
+// deliver passes a load report to all daemons, and the cache events that are not
+// lost to one of them.
+func (e *experiment) deliver(r report.Report, events engine.Events) {
 	time.AfterFunc(reportLag, func() {
-		for _, d := range b.daemons {
+		for _, d := range e.daemons {
 			d.registry.ApplyReport(&r, r.Taken)
 		}
 	})
 	var kept []engine.Event
-	for _, e := range ev.Events {
-		if b.losses.Float64() >= eventLoss {
-			kept = append(kept, e)
+	for _, event := range events.Events {
+		if e.lossRand.Float64() >= eventLoss {
+			kept = append(kept, event)
 		}
 	}
-	// One daemon in the zone observes an engine; the others do not hear of
-	// its cache.
-	observer := b.daemons[int(r.Incarnation+uint64Of(r.Endpoint))%daemons]
+	// Each engine is observed by one daemon; the others don't see its cache
+	// events.
+	observer := e.daemons[int(r.Incarnation+engineNumber(r.Endpoint))%daemons]
 	time.AfterFunc(eventLag, func() {
-		for _, e := range kept {
-			observer.registry.ApplyCacheEvent(r.Endpoint, e.Block, e.Stored)
+		for _, event := range kept {
+			observer.registry.ApplyCacheEvent(r.Endpoint, event.Block, event.Stored)
 		}
 	})
 }
 
-func uint64Of(e identifier.Endpoint) identifier.Incarnation {
+// engineNumber returns the number in the name of an engine.
+func engineNumber(e identifier.Endpoint) identifier.Incarnation {
 	var i identifier.Incarnation
 	_, _ = fmt.Sscanf(string(e), "engine-%d", &i)
 	return i
 }
 
-func (b *bench) ask(i int, path string, out any) error {
+// get calls an engine and decodes the JSON of its answer.
+func (e *experiment) get(i int, path string, out any) error {
 	r, err := http.NewRequest(http.MethodGet, fmt.Sprintf("http://engine-%d%s", i, path), http.NoBody)
 	if err != nil {
 		return err
 	}
-	resp, err := b.RoundTrip(r)
+	resp, err := e.RoundTrip(r)
 	if err != nil {
 		return err
 	}
@@ -319,186 +333,192 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// disturb makes the scenario happen in the middle of the run.
-func (b *bench) disturb(s scenario, length time.Duration) {
+// injectFault injects the scenario's fault in the middle of the run.
+func (e *experiment) injectFault(s scenario, length time.Duration) {
 	time.Sleep(length / 2)
 	switch s {
 	case slowOne:
-		b.behave(0, engine.Behaviour{Slow: 4})
+		e.setBehaviour(0, engine.Behaviour{Slow: 4})
 	case reclaim:
-		b.reclaim()
+		e.reclaim()
 	}
 }
 
-func (b *bench) behave(i int, behaviour engine.Behaviour) {
+// setBehaviour sets the behaviour of an engine.
+func (e *experiment) setBehaviour(i int, behaviour engine.Behaviour) {
 	body, _ := json.Marshal(behaviour)
 	r, _ := http.NewRequest(http.MethodPost, fmt.Sprintf("http://engine-%d/admin/behaviour", i), strings.NewReader(string(body)))
-	if resp, err := b.RoundTrip(r); err == nil {
+	if resp, err := e.RoundTrip(r); err == nil {
 		resp.Body.Close()
 	}
 }
 
-// reclaim takes zone-1's engines away after their notice.
-func (b *bench) reclaim() {
-	deadline := time.Now().Add(notice)
-	for i := range b.hosts {
-		if b.hosts[i].AvailabilityZone != "zone-1" {
+// reclaim announces that all hosts of zone-1 are reclaimed, and makes their engines
+// unreachable at the end of the notice.
+func (e *experiment) reclaim() {
+	deadline := time.Now().Add(noticePeriod)
+	for i := range e.hosts {
+		if e.hosts[i].AvailabilityZone != "zone-1" {
 			continue
 		}
-		for _, d := range b.daemons {
-			d.registry.MarkLeaving(b.hosts[i].Host, 1, deadline)
+		for _, d := range e.daemons {
+			d.registry.MarkLeaving(e.hosts[i].Host, 1, deadline)
 		}
 	}
-	time.Sleep(notice)
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for i := range b.hosts {
-		if b.hosts[i].AvailabilityZone == "zone-1" {
-			b.gone[string(b.hosts[i].Host)] = true
+	time.Sleep(noticePeriod)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for i := range e.hosts {
+		if e.hosts[i].AvailabilityZone == "zone-1" {
+			e.unreachable[string(e.hosts[i].Host)] = true
 		}
 	}
 }
 
-// sink measures what a caller sees.
-type sink struct {
-	begun, last time.Time
-	first       time.Duration
-	between     time.Duration
+// frameMeter measures what a client sees of a stream.
+type frameMeter struct {
+	start, last time.Time
+	firstToken  time.Duration
+	maxGap      time.Duration
 	usage       frame.Usage
 }
 
-func (s *sink) WriteFrame(f *frame.Frame) error {
+func (m *frameMeter) WriteFrame(f *frame.Frame) error {
 	now := time.Now()
-	if s.first == 0 {
-		s.first = now.Sub(s.begun)
+	if m.firstToken == 0 {
+		m.firstToken = now.Sub(m.start)
 	} else {
-		s.between = max(s.between, now.Sub(s.last))
+		m.maxGap = max(m.maxGap, now.Sub(m.last))
 	}
-	s.last = now
+	m.last = now
 	if f.Usage != nil {
-		s.usage = *f.Usage
+		m.usage = *f.Usage
 	}
 	return nil
 }
 
-func (b *bench) send(d *daemon, n int, r workload.Request) {
-	service, _ := b.plan.Service("s")
+// send runs one request on a daemon and adds its result to the collector.
+func (e *experiment) send(d *daemon, n int, r workload.Request) {
+	service, _ := e.plan.Service("s")
 	body, _ := json.Marshal(map[string]any{"model": "s", "stream": true, "max_tokens": r.OutputTokens, "prompt": r.Prompt})
 	c := &call.Call{
-		Request: identifier.Request(fmt.Sprint(n)), Instance: identifier.Request(fmt.Sprintf("%d~%d", n, b.seed)), Received: time.Now(),
-		Plan: b.plan, Service: service, Pool: b.pool, Body: body, Prompt: r.Prompt, Blocks: prefix.Blocks(nil, r.Prompt),
+		Request: identifier.Request(fmt.Sprint(n)), Instance: identifier.Request(fmt.Sprintf("%d~%d", n, e.seed)), Received: time.Now(),
+		Plan: e.plan, Service: service, Pool: e.pool, Body: body, Prompt: r.Prompt, Blocks: prefix.Blocks(nil, r.Prompt),
 		PromptTokens: prefix.Tokens(len(r.Prompt)), MaxTokens: r.OutputTokens, PriorTokens: r.PriorTokens, Conversation: r.Conversation, Streaming: true,
 	}
 	rec := &recorder.Record{}
-	out := &sink{begun: time.Now()}
+	out := &frameMeter{start: time.Now()}
 	err := d.streamer.Run(context.Background(), &streamer.Job{Call: c, Record: rec}, out)
-	sample := collector.Sample{Organisation: r.Organisation, FirstToken: out.first, MaxTokenGap: out.between, Cost: rec.Cost, PromptTokens: c.PromptTokens}
+	sample := collector.Sample{Organisation: r.Organisation, FirstToken: out.firstToken, MaxTokenGap: out.maxGap, Cost: rec.Cost, PromptTokens: c.PromptTokens}
 	var problem *refusal.Problem
 	if errors.As(err, &problem) {
 		sample.Refused = string(problem.Kind())
 	}
-	known := r.PriorTokens / prefix.BlockTokens * prefix.BlockTokens
-	sample.RecomputedTokens = max(known-out.usage.CachedTokens, 0)
+	prior := r.PriorTokens / prefix.BlockTokens * prefix.BlockTokens
+	sample.RecomputedTokens = max(prior-out.usage.CachedTokens, 0)
 	if rec.RecomputedTokens > 0 {
 		sample.RecomputedTokens = rec.RecomputedTokens
 	}
-	b.result.Add(sample)
+	e.collector.Add(sample)
 }
 
-// run carries one experiment through and returns its summary.
-func run(t *testing.T, s setup, policy string, sc scenario, seed uint64, length time.Duration) collector.Summary {
+// run runs one experiment and returns its summary.
+func run(t *testing.T, dep deployment, policy string, sc scenario, seed uint64, length time.Duration) collector.Summary {
 	t.Helper()
 	var out collector.Summary
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, s, policy, seed)
+		e := newExperiment(t, dep, policy, seed)
 		ctx, cancel := context.WithCancel(context.Background())
-		go b.observe(ctx)
-		for _, d := range b.daemons {
-			if d.evacuator != nil {
-				go func() { _ = d.evacuator.Serve(ctx) }()
+		go e.observe(ctx)
+		for _, d := range e.daemons {
+			if d.migrator != nil {
+				go func() { _ = d.migrator.Serve(ctx) }()
 			}
 		}
-		go b.disturb(sc, length)
-		w := workload.New(s.mix, seed)
+		go e.injectFault(sc, length)
+		generator := workload.New(dep.mix, seed)
 		end := time.Now().Add(length)
-		var group sync.WaitGroup
+		var requests sync.WaitGroup
 		for n := 0; time.Now().Before(end); n++ {
-			r := w.Next()
+			r := generator.Next()
 			time.Sleep(r.Pause)
-			d := b.daemons[b.rand.IntN(daemons)]
-			group.Go(func() { b.send(d, n, r) })
+			d := e.daemons[e.rand.IntN(daemons)]
+			requests.Go(func() { e.send(d, n, r) })
 		}
-		group.Wait()
+		requests.Wait()
 		cancel()
 		time.Sleep(time.Minute)
 		synctest.Wait()
-		out = b.result.Summary()
+		out = e.collector.Summary()
 	})
 	return out
 }
 
 func policies() []string {
-	out := []string{ours}
+	out := []string{selectorPolicy}
 	for _, k := range baseline.Kinds() {
 		out = append(out, string(k))
 	}
 	return out
 }
 
-// TestTable prints all tables with -full; without it, it runs one small part
-// and checks that nothing is refused.
+// TestTable runs all policies and scenarios with -full and prints their tables.
+// Without -full it guards against requests that are refused when a zone is
+// reclaimed under them: a short run must answer all of them.
 func TestTable(t *testing.T) {
-	if !*planFlag {
-		s := run(t, setups()[0], ours, reclaim, *seedFlag, 10*time.Second)
+	if !*fullFlag {
+		s := run(t, deployments()[0], selectorPolicy, reclaim, *seedFlag, 10*time.Second)
 		if s.Answered == 0 || len(s.Refused) != 0 {
 			t.Fatalf("%+v", s)
 		}
 		return
 	}
 	out := os.Stdout
-	for _, s := range setups() {
-		d := newDrawing(s.mix.Name)
+	for _, dep := range deployments() {
+		c := newCharts(dep.mix.Name)
 		for _, sc := range []scenario{steady, slowOne, reclaim} {
-			fmt.Fprintf(out, "\n%s, %s, seed %d, %s\n\n%s\n", s.mix.Name, sc, *seedFlag, *longFlag, collector.TableHeader)
+			fmt.Fprintf(out, "\n%s, %s, seed %d, %s\n\n%s\n", dep.mix.Name, sc, *seedFlag, *lengthFlag, collector.TableHeader)
 			for _, p := range policies() {
-				sum := run(t, s, p, sc, *seedFlag, *longFlag)
-				fmt.Fprintln(out, sum.Row(p))
-				d.add(p, &sum)
+				s := run(t, dep, p, sc, *seedFlag, *lengthFlag)
+				fmt.Fprintln(out, s.Row(p))
+				c.add(p, &s)
 			}
 		}
-		d.save(t)
+		c.save(t)
 	}
 }
 
-// drawing collects the two measures of one user's runs.
-type drawing struct {
-	user string
-	cost map[string][]float64
-	lost map[string][]float64
+// charts holds the cost and the recomputed tokens of one user's runs by policy, a
+// value for each scenario.
+type charts struct {
+	user       string
+	cost       map[string][]float64
+	recomputed map[string][]float64
 }
 
-func newDrawing(user string) *drawing {
-	return &drawing{user: user, cost: make(map[string][]float64), lost: make(map[string][]float64)}
+func newCharts(user string) *charts {
+	return &charts{user: user, cost: make(map[string][]float64), recomputed: make(map[string][]float64)}
 }
 
-func (d *drawing) add(policy string, s *collector.Summary) {
-	d.cost[policy] = append(d.cost[policy], s.CostPerThousand)
-	d.lost[policy] = append(d.lost[policy], float64(s.Recomputed))
+func (c *charts) add(policy string, s *collector.Summary) {
+	c.cost[policy] = append(c.cost[policy], s.CostPerThousand)
+	c.recomputed[policy] = append(c.recomputed[policy], float64(s.Recomputed))
 }
 
-func (d *drawing) save(t *testing.T) {
+// save writes the charts, if -plots names a folder.
+func (c *charts) save(t *testing.T) {
 	t.Helper()
 	if *plotFlag == "" {
 		return
 	}
-	name := strings.ToLower(strings.ReplaceAll(strings.ReplaceAll(d.user, " & ", "-"), " ", "-"))
-	d.draw(t, d.cost, "cost per thousand requests in target", name+"-cost.png")
-	d.draw(t, d.lost, "recomputed tokens", name+"-recomputed.png")
+	name := strings.ToLower(strings.ReplaceAll(strings.ReplaceAll(c.user, " & ", "-"), " ", "-"))
+	c.draw(t, c.cost, "cost per thousand requests in target", name+"-cost.png")
+	c.draw(t, c.recomputed, "recomputed tokens", name+"-recomputed.png")
 }
 
-func (d *drawing) draw(t *testing.T, series map[string][]float64, unit, file string) {
+func (c *charts) draw(t *testing.T, series map[string][]float64, unit, file string) {
 	t.Helper()
-	p := plotter.New(plotter.Config{Title: fmt.Sprintf("%s, seed %d", d.user, *seedFlag), Unit: unit})
+	p := plotter.New(plotter.Config{Title: fmt.Sprintf("%s, seed %d", c.user, *seedFlag), Unit: unit})
 	for _, policy := range policies() {
 		p.Add(policy, series[policy])
 	}
--- a/internal/measure/plotter/plotter.go
+++ b/internal/measure/plotter/plotter.go
@@ -1,4 +1,4 @@
-// Package plotter draws the measurements as bar charts.
+// Package plotter draws measurements as grouped bar charts.
 //
 // # Usage
 //
@@ -20,17 +20,18 @@
 	barWidth = 12 * vg.Millimeter / 3
 	width    = 24 * vg.Centimeter
 	height   = 11 * vg.Centimeter
-	// margin is the room beside the outer groups, in groups.
+	// margin is the space beside the outer groups, in widths of a group.
 	margin = 0.5
 )
 
-// Config labels a chart.
+// Config holds the labels of a chart.
 type Config struct {
 	Title string
-	Unit  string
+	// Unit is the label of the y axis.
+	Unit string
 }
 
-// Plotter collects the series of one chart.
+// Plotter collects the series of one chart. It is not safe for concurrent use.
 type Plotter struct {
 	c      Config
 	names  []string
@@ -40,13 +41,14 @@
 // New returns an empty chart.
 func New(c Config) *Plotter { return &Plotter{c: c} }
 
-// Add adds a series: a value for each group.
+// Add adds a series with one value for each group.
 func (p *Plotter) Add(name string, values []float64) {
 	p.names = append(p.names, name)
 	p.series = append(p.series, values)
 }
 
-// Save writes the chart to a file whose ending chooses the format.
+// Save writes the chart to a file. The file name extension determines the
+// format; groups are the labels on the x axis.
 func (p *Plotter) Save(file string, groups []string) error {
 	chart := plot.New()
 	chart.Title.Text = p.c.Title
@@ -68,9 +70,9 @@
 	chart.NominalX(groups...)
 	chart.X.Min, chart.X.Max = -margin, float64(len(groups)-1)+margin
 	chart.Legend.Padding = vg.Millimeter
-	// Room for the legend above the bars.
-	const head = 1.45
-	chart.Y.Max *= head
+	// Leaves space for the legend above the bars.
+	const headroom = 1.45
+	chart.Y.Max *= headroom
 	if err := chart.Save(width, height, file); err != nil {
 		return fmt.Errorf("plot: %w", err)
 	}
--- a/internal/measure/workload/workload.go
+++ b/internal/measure/workload/workload.go
@@ -1,19 +1,19 @@
-// Package workload makes the requests of the two users, from a seed.
+// Package workload generates requests like those of the two users' systems,
+// reproducibly from a seed.
 //
-// # The mixes
-//
-// Harrowby & Trent: long letters and instruction histories. A conversation
-// carries a member's history and grows with each of its turns. Werkbrug: many
-// short chats and confirmations with a common preamble, and a tenth of long
-// rosters. The lengths and rates are ours, chosen to fit the sizes of today in
-// the brief; they are stated with each measurement.
+// Harrowby & Trent sends long letters and instruction histories: a conversation
+// starts with a member's history and grows with each turn. Werkbrug sends many
+// short chats and confirmations with a common preamble; a tenth of its
+// conversations hold long rosters. The lengths and rates are estimates that fit
+// the present sizes of both systems; each published measurement states them.
 //
 // # Usage
 //
-//	w := workload.New(workload.Werkbrug(), seed)
+//	g := workload.New(workload.Werkbrug(), seed)
 //	for {
-//		r := w.Next()
-//		// wait r.Pause, then send r
+//		r := g.Next()
+//		time.Sleep(r.Pause)
+//		go send(r)
 //	}
 package workload
 
@@ -29,31 +29,37 @@
 	"brasschute/internal/engine/prefix"
 )
 
-// Mix describes a user's requests. Lengths are in tokens, as least and most.
+// Mix describes the requests of a system. Ranges are minimum and maximum, both
+// included.
 type Mix struct {
 	Name          string
 	Organisations []OrganisationShare
-	// RequestsPerSecond is in requests a second.
+	// RequestsPerSecond is the mean of a Poisson arrival process.
 	RequestsPerSecond float64
-	// PreambleTokens is common to all conversations.
+	// PreambleTokens is the length of the text with which all conversations
+	// begin.
 	PreambleTokens int
-	// HistoryTokens opens a conversation; Turn is added with each request.
+	// HistoryTokens is the range of the text after the preamble, TurnTokens
+	// that of the text which each request adds.
 	HistoryTokens [2]int
 	TurnTokens    [2]int
 	OutputTokens  [2]int
-	Turns   [2]int
-	// LongShare is the share of conversations with LongHistory instead.
-	LongShare        float64
+	// Turns is the range of the number of requests of a conversation.
+	Turns [2]int
+	// LongShare is the share of conversations, from 0 to 1, whose history is in
+	// the range LongHistoryTokens instead of HistoryTokens.
+	LongShare         float64
 	LongHistoryTokens [2]int
 }
 
-// OrganisationShare is one organisation's part of the requests.
+// OrganisationShare is an organisation's share of the conversations: its weight
+// over the sum of all weights.
 type OrganisationShare struct {
 	Name   identifier.Organisation
 	Weight float64
 }
 
-// HarrowbyTrent is the renewals desk in maturity week.
+// HarrowbyTrent returns the mix of the renewals desk in maturity week.
 func HarrowbyTrent() Mix {
 	return Mix{
 		Name: "Harrowby & Trent", RequestsPerSecond: 9, PreambleTokens: 160, HistoryTokens: [2]int{500, 1800}, TurnTokens: [2]int{30, 120},
@@ -62,7 +68,7 @@
 	}
 }
 
-// Werkbrug is an ordinary working hour.
+// Werkbrug returns the mix of an ordinary working hour.
 func Werkbrug() Mix {
 	return Mix{
 		Name: "Werkbrug", RequestsPerSecond: 40, PreambleTokens: 96, HistoryTokens: [2]int{20, 120}, TurnTokens: [2]int{10, 50},
@@ -73,28 +79,29 @@
 
 // Request is one request to send.
 type Request struct {
-	// Pause is the time since the request before.
+	// Pause is the time from the request before to this one.
 	Pause        time.Duration
 	Organisation identifier.Organisation
 	Prompt       string
-	// Conversation is a hash that the turns of a conversation share.
+	// Conversation is a hash that all turns of a conversation share.
 	Conversation uint64
-	OutputTokens       identifier.Tokens
-	// PriorTokens are the prompt tokens that an earlier turn already sent.
+	OutputTokens identifier.Tokens
+	// PriorTokens are the leading prompt tokens that an earlier turn already sent.
 	PriorTokens identifier.Tokens
 }
 
+// conversation is a conversation that has turns left.
 type conversation struct {
 	organisation identifier.Organisation
-	text         string
+	prompt       string
 	hash         uint64
-	known        int
-	left         int
-	// ready is when the caller has read the answer and asks again.
-	ready time.Duration
+	sentBytes    int
+	turnsLeft    int
+	// dueAt is when the client may send the next turn, as it has read the answer.
+	dueAt time.Duration
 }
 
-// Generator makes requests. It is for one goroutine.
+// Generator generates requests. It is not safe for concurrent use.
 type Generator struct {
 	mix      Mix
 	rand     *rand.Rand
@@ -103,105 +110,111 @@
 	now      time.Duration
 }
 
-// The next turn of a conversation comes between leastThink and leastThink plus
-// spreadThink after the one before.
+// The next turn of a conversation comes no earlier than the think time after
+// the one before: minThinkTime and a random part of up to thinkTimeSpread.
 const (
-	leastThink  = 6 * time.Second
-	spreadThink = 10 * time.Second
+	minThinkTime    = 6 * time.Second
+	thinkTimeSpread = 10 * time.Second
 )
 
-// New returns a workload of a mix.
+// New returns a generator for a mix. The same seed gives the same requests.
 func New(m Mix, seed uint64) *Generator {
-	w := &Generator{mix: m, rand: rand.New(rand.NewPCG(seed, 1))}
-	w.preamble = w.text(m.PreambleTokens)
-	return w
+	g := &Generator{mix: m, rand: rand.New(rand.NewPCG(seed, 1))}
+	g.preamble = g.randomText(m.PreambleTokens)
+	return g
 }
 
-// text returns random text of a number of tokens.
-func (w *Generator) text(tokens int) string {
+// randomText returns random text that is as long as a number of tokens.
+func (g *Generator) randomText(tokens int) string {
 	var b strings.Builder
 	for b.Len() < tokens*prefix.BytesPerToken {
-		fmt.Fprintf(&b, "%06x ", w.rand.IntN(1<<24))
+		fmt.Fprintf(&b, "%06x ", g.rand.IntN(1<<24))
 	}
 	return b.String()[:tokens*prefix.BytesPerToken]
 }
 
-func (w *Generator) between(bounds [2]int) int {
-	return bounds[0] + w.rand.IntN(bounds[1]-bounds[0]+1)
+// randomBetween returns a random number between two bounds, both included.
+func (g *Generator) randomBetween(bounds [2]int) int {
+	return bounds[0] + g.rand.IntN(bounds[1]-bounds[0]+1)
 }
 
 // Next returns the next request.
-func (w *Generator) Next() Request {
-	pause := time.Duration(w.rand.ExpFloat64() / w.mix.RequestsPerSecond * float64(time.Second))
-	w.now += pause
-	c := w.conversation()
-	c.text += w.text(w.between(w.mix.TurnTokens))
-	c.ready = w.now + leastThink + time.Duration(w.rand.Int64N(int64(spreadThink)))
+func (g *Generator) Next() Request {
+	pause := time.Duration(g.rand.ExpFloat64() / g.mix.RequestsPerSecond * float64(time.Second))
+	g.now += pause
+	c := g.nextConversation()
+	c.prompt += g.randomText(g.randomBetween(g.mix.TurnTokens))
+	c.dueAt = g.now + minThinkTime + time.Duration(g.rand.Int64N(int64(thinkTimeSpread)))
 	r := Request{
 		Pause:        pause,
-		Organisation: c.organisation, Prompt: c.text, Conversation: c.hash, OutputTokens: identifier.Tokens(w.between(w.mix.OutputTokens)), PriorTokens: prefix.Tokens(c.known),
+		Organisation: c.organisation, Prompt: c.prompt, Conversation: c.hash, OutputTokens: identifier.Tokens(g.randomBetween(g.mix.OutputTokens)), PriorTokens: prefix.Tokens(c.sentBytes),
 	}
-	c.known = len(c.text)
-	c.left--
-	if c.left == 0 {
-		w.close(c)
+	c.sentBytes = len(c.prompt)
+	c.turnsLeft--
+	if c.turnsLeft == 0 {
+		g.close(c)
 	}
 	return r
 }
 
-// conversation returns an open conversation, or a new one.
-func (w *Generator) conversation() *conversation {
-	if w.rand.Float64() < w.again() {
-		if c := w.waiting(); c != nil {
+// nextConversation returns an open conversation whose next turn is due, or
+// opens a new one.
+func (g *Generator) nextConversation() *conversation {
+	if g.rand.Float64() < g.followUpShare() {
+		if c := g.longestDue(); c != nil {
 			return c
 		}
 	}
-	history := w.mix.HistoryTokens
-	if w.rand.Float64() < w.mix.LongShare {
-		history = w.mix.LongHistoryTokens
+	history := g.mix.HistoryTokens
+	if g.rand.Float64() < g.mix.LongShare {
+		history = g.mix.LongHistoryTokens
 	}
-	c := &conversation{organisation: w.organisation(), text: w.preamble + w.text(w.between(history)), left: w.between(w.mix.Turns)}
-	c.hash = xxhash.Sum64String(c.text)
-	w.open = append(w.open, c)
+	c := &conversation{organisation: g.randomOrganisation(), prompt: g.preamble + g.randomText(g.randomBetween(history)), turnsLeft: g.randomBetween(g.mix.Turns)}
+	c.hash = xxhash.Sum64String(c.prompt)
+	g.open = append(g.open, c)
 	return c
 }
 
-// waiting returns the conversation whose caller has waited longest, or nil.
-func (w *Generator) waiting() *conversation {
-	var first *conversation
-	for _, c := range w.open {
-		if c.ready <= w.now && (first == nil || c.ready < first.ready) {
-			first = c
+// longestDue returns the conversation whose next turn has been due for longest,
+// or nil.
+func (g *Generator) longestDue() *conversation {
+	var longest *conversation
+	for _, c := range g.open {
+		if c.dueAt <= g.now && (longest == nil || c.dueAt < longest.dueAt) {
+			longest = c
 		}
 	}
-	return first
+	return longest
 }
 
-// again is the share of requests that are not the first of a conversation.
-func (w *Generator) again() float64 {
-	turns := float64(w.mix.Turns[0]+w.mix.Turns[1]) / 2
+// followUpShare returns the share of requests that are not the first of their
+// conversation.
+func (g *Generator) followUpShare() float64 {
+	turns := float64(g.mix.Turns[0]+g.mix.Turns[1]) / 2
 	return 1 - 1/turns
 }
 
-func (w *Generator) close(c *conversation) {
-	for i := range w.open {
-		if w.open[i] == c {
-			w.open = append(w.open[:i], w.open[i+1:]...)
+// close removes a conversation that has no turns left.
+func (g *Generator) close(c *conversation) {
+	for i := range g.open {
+		if g.open[i] == c {
+			g.open = append(g.open[:i], g.open[i+1:]...)
 			return
 		}
 	}
 }
 
-func (w *Generator) organisation() identifier.Organisation {
+// randomOrganisation returns an organisation with a probability by its weight.
+func (g *Generator) randomOrganisation() identifier.Organisation {
 	sum := 0.0
-	for _, o := range w.mix.Organisations {
+	for _, o := range g.mix.Organisations {
 		sum += o.Weight
 	}
-	x := w.rand.Float64() * sum
-	for _, o := range w.mix.Organisations {
+	x := g.rand.Float64() * sum
+	for _, o := range g.mix.Organisations {
 		if x -= o.Weight; x < 0 {
 			return o.Name
 		}
 	}
-	return w.mix.Organisations[0].Name
+	return g.mix.Organisations[0].Name
 }
