--- a/internal/measure/collector/collector.go
+++ b/internal/measure/collector/collector.go
@@ -26,10 +26,11 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Range and precision of the histograms, which record microseconds.
+// Greatest value of the histograms, which record microseconds, and their number
+// of significant digits.
 const (
-	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
-	significantDigits = 3
+	maxMicros = int64(10 * time.Minute / time.Microsecond)
+	digits    = 3
 )
 
 // Sample is the result of one request.
@@ -75,9 +76,7 @@
 	}
 }
 
-func histogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, maxMicroseconds, significantDigits)
-}
+func histogram() *hdrhistogram.Histogram { return hdrhistogram.New(1, maxMicros, digits) }
 
 // Add adds one sample. Of a refused request only the cost and the reason
 // count.
