--- a/internal/standin/hosting/batching.go
+++ b/internal/standin/hosting/batching.go
@@ -13,34 +13,34 @@
 	"brasschute/internal/standin/batcher"
 )
 
-// batched lets a request wait, be read and run among the others of the engine, and streams
-// what it makes. It begins to run with its first token.
-func (e *Engine) batched(w http.ResponseWriter, r *http.Request, body string, ended <-chan struct{}) {
+// serveBatched runs a request in the batch of the engine and streams its tokens. The execution
+// is recorded at the first token: until then a request that ends has not run.
+func (e *Engine) serveBatched(w http.ResponseWriter, r *http.Request, body string, restarted <-chan struct{}) {
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	go func() {
 		select {
-		case <-ended:
+		case <-restarted:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
 	flush := http.NewResponseController(w).Flush
-	j := job(r.Header)
+	j := parseJob(r.Header)
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	j.OutputTokens = max(j.OutputTokens-after*e.c.TokensPerEvent, 1)
-	events := after
+	event := after
 	err := e.batch.Run(ctx, j, func(token int) error {
 		if token == 1 {
-			e.begin(r, body)
+			e.recordExecution(r, body)
 			w.Header().Set("Response-Stamp", "stamp-"+e.c.ID)
 			w.Header().Set("Content-Type", "text/event-stream")
 		}
 		if token%e.c.TokensPerEvent != 0 && token != j.OutputTokens {
 			return nil
 		}
-		events++
-		if _, err := io.WriteString(w, EventText(events)); err != nil {
+		event++
+		if _, err := io.WriteString(w, EventText(event)); err != nil {
 			return err
 		}
 		return flush()
@@ -54,7 +54,7 @@
 	}
 }
 
-// load is what the engine says of its load: running, waiting, slots.
+// load returns the value of the Server-Load header: running requests, waiting ones, slots.
 func (e *Engine) load() string {
 	if e.batch == nil {
 		return "1,0,8"
@@ -63,23 +63,24 @@
 	return fmt.Sprintf("%d,%d,%d", l.Running, l.Waiting, e.c.Batch.Slots)
 }
 
-// job reads what a model request asks for. What is not said is left out.
-func job(h http.Header) *batcher.Job {
+// parseJob reads a job from the headers of a model request. A header that is missing or malformed
+// leaves the default.
+func parseJob(h http.Header) *batcher.Job {
 	j := &batcher.Job{OutputTokens: 1, Priority: -1}
-	in, out, _ := strings.Cut(h.Get("Token-Count"), ",")
-	if n, err := strconv.Atoi(out); err == nil {
+	promptTokens, outputTokens, _ := strings.Cut(h.Get("Token-Count"), ",")
+	if n, err := strconv.Atoi(outputTokens); err == nil {
 		j.OutputTokens = max(n, 1)
 	}
 	if n, err := strconv.Atoi(h.Get("Request-Urgency")); err == nil {
 		j.Priority = n
 	}
-	for _, one := range strings.Split(h.Get("Prompt-Prefix"), ",") {
-		id, tokens, _ := strings.Cut(one, ":")
+	for _, part := range strings.Split(h.Get("Prompt-Prefix"), ",") {
+		id, tokens, _ := strings.Cut(part, ":")
 		if n, err := strconv.Atoi(tokens); err == nil {
 			j.Prompt = append(j.Prompt, batcher.PromptPart{ID: id, Tokens: identifier.Tokens(n)})
 		}
 	}
-	if n, err := strconv.Atoi(in); err == nil && len(j.Prompt) == 0 {
+	if n, err := strconv.Atoi(promptTokens); err == nil && len(j.Prompt) == 0 {
 		j.Prompt = []batcher.PromptPart{{ID: fmt.Sprint("of ", h.Get("Request-Id")), Tokens: identifier.Tokens(n)}}
 	}
 	return j
--- a/internal/standin/hosting/cloud.go
+++ b/internal/standin/hosting/cloud.go
@@ -7,7 +7,8 @@
 	"sync"
 )
 
-// Report is one usage report as it came.
+// Report is one usage report as it was received. Holder and Fencing are the lease holder and
+// the fencing number from the call's headers.
 type Report struct {
 	Holder  string
 	Fencing uint64
@@ -15,7 +16,8 @@
 	Counts  map[string]int
 }
 
-// Order is one order of endpoints as it came.
+// Order is one order for a number of endpoints as it was received. Holder and Fencing are the
+// lease holder and the fencing number from the call's headers.
 type Order struct {
 	Holder  string
 	Fencing uint64
@@ -25,37 +27,38 @@
 	Spot    bool
 }
 
-// Cloud takes reports and orders. It is an http.Handler and safe for concurrent
-// use.
+// Cloud stands in for the cloud API: it records usage reports and orders. It is an
+// http.Handler and safe for concurrent use.
 type Cloud struct {
-	mu      sync.Mutex
-	reports []Report
-	orders  []Order
-	lose    func(path string) bool
+	mu         sync.Mutex
+	reports    []Report
+	orders     []Order
+	loseAnswer func(path string) bool
 }
 
-// SetLoseAnswer makes the cloud ask whether a call is done without an answer.
-func (c *Cloud) SetLoseAnswer(lose func(path string) bool) {
+// SetLoseAnswer sets a function that is called with the path of each call. If it returns true,
+// the call takes effect and the connection is closed without an answer.
+func (c *Cloud) SetLoseAnswer(loseAnswer func(path string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lose = lose
+	c.loseAnswer = loseAnswer
 }
 
-// Reports returns the reports in the order in which they came.
+// Reports returns the usage reports in order of arrival.
 func (c *Cloud) Reports() []Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Report(nil), c.reports...)
 }
 
-// Orders returns the orders in the order in which they came.
+// Orders returns the orders in order of arrival.
 func (c *Cloud) Orders() []Order {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]Order(nil), c.orders...)
 }
 
-// ServeHTTP takes one call.
+// ServeHTTP serves /usage and /scale.
 func (c *Cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	holder := r.Header.Get("Duty-Holder")
 	fencing, _ := strconv.ParseUint(r.Header.Get("Fencing-Token"), 10, 64)
@@ -79,7 +82,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if c.lose != nil && c.lose(r.URL.Path) {
+	if c.loseAnswer != nil && c.loseAnswer(r.URL.Path) {
 		panic(http.ErrAbortHandler)
 	}
 	w.WriteHeader(http.StatusOK)
--- a/internal/standin/hosting/hosting.go
+++ b/internal/standin/hosting/hosting.go
@@ -1,13 +1,12 @@
-// Package hosting is a small stand-in for the hosting platform: its store, its
-// cloud and its engines, by the published protocol.
+// Package hosting is a stand-in for the hosting platform: its store, its cloud API
+// and its engines, with their published protocols.
 //
-// # What it is for
-//
-// Tests start it in their own process and real daemons against it. It keeps
-// what it saw, so that a test can tell from the outside what was run, by whom
-// and how often, and it misbehaves on demand: a store that answers 409, 410 or
-// 429, loses answers, turns some hosts away or drops its history below open
-// watches; engines that refuse, break off, answer twice, or stay silent.
+// Tests run it in their own process and start real daemons against it. It records
+// the calls that it receives, so that a test can check which requests were run, by
+// which engine and how often. It injects faults on demand: a store that answers
+// 409, 410, 429 or 503, loses answers, rejects the calls of some hosts or drops its
+// history while watches are open; engines that refuse requests, truncate their
+// answers, answer twice or never answer.
 //
 // # Usage
 //
@@ -30,39 +29,40 @@
 	"brasschute/internal/standin/batcher"
 )
 
-// Behaviour is how an engine treats a request.
+// Behaviour is the way in which an engine handles a request.
 type Behaviour int
 
 // The behaviours.
 const (
 	// Serve runs the request.
 	Serve Behaviour = iota
-	// Refuse answers that it did not run.
+	// Refuse answers that the request was not run.
 	Refuse
-	// Misdirect answers that another engine has the address.
+	// Misdirect answers 421 with the id of the engine, as if the request was meant for another
+	// engine that had the address before.
 	Misdirect
-	// Fail runs it and answers 500.
+	// Fail runs the request and answers 500.
 	Fail
-	// CloseUnanswered runs it and closes the connection without an answer.
+	// CloseUnanswered runs the request and closes the connection without an answer.
 	CloseUnanswered
-	// TruncateAnswer runs it and breaks off in the middle of the answer, of an event
-	// where it streams.
+	// TruncateAnswer runs the request and closes the connection in the middle of the answer;
+	// in a stream, in the middle of an event.
 	TruncateAnswer
-	// HoldUntilRelease runs it and waits until Release.
+	// HoldUntilRelease runs the request and waits for Release before it answers.
 	HoldUntilRelease
-	// AnswerTwice answers, and then sends a second answer to nobody.
+	// AnswerTwice sends a second answer after each answer, although no request is open.
 	AnswerTwice
-	// OmitSignature answers without the engine's signature.
+	// OmitSignature answers without Response-Stamp, the engine's signature.
 	OmitSignature
-	// EncodeUnasked answers with a body in an encoding that nobody asked for.
+	// EncodeUnasked names a content encoding that the request did not accept.
 	EncodeUnasked
-	// OmitLength answers without a length; the connection's end ends it.
+	// OmitLength answers without Content-Length; the end of the connection ends the answer.
 	OmitLength
-	// AnswerWrongRequest answers with the id of another request first.
+	// AnswerWrongRequest sends an answer with the id of another request before the right one.
 	AnswerWrongRequest
 )
 
-// Execution is a request that an engine began to work on.
+// Execution is a request that an engine began to run.
 type Execution struct {
 	Request string
 	Tenant  string
@@ -70,110 +70,112 @@
 	Method  string
 	Target  string
 	Body    string
-	// After is the number of the event after which the run goes on.
+	// After is the number of the event after which a resumed stream continues; 0 for a new one.
 	After int
 }
 
-// Config describes an engine.
+// Config describes an engine and its entry in the store.
 type Config struct {
 	ID      string
 	Service string
 	Zone    string
 	Address string
-	// Version is that of its software.
+	// Version is the version of its software; empty for none.
 	Version string
-	// StreamLength is the length of a stream; 0 for plain answers.
+	// StreamLength is the number of events in a stream; 0 for plain answers.
 	StreamLength int
-	Spot   bool
-	// StartedUnixMilli is when it started, in milliseconds from 1970; 0 if it does not say so.
+	// Spot marks a reclaimable engine.
+	Spot bool
+	// StartedUnixMilli is the start time in milliseconds since 1970; 0 leaves it out of the entry.
 	StartedUnixMilli int64
-	// Batch, if not nil, makes it a model engine that works on several requests at once;
-	// an event of its streams holds EventTokens. Requests say their size and parts.
-	Batch       *batcher.Config
+	// Batch, if not nil, makes it a model engine with continuous batching, which reads the sizes
+	// of a request from its headers. TokensPerEvent is the number of tokens in an event of its
+	// streams; at least 1.
+	Batch          *batcher.Config
 	TokensPerEvent int
 }
 
-// Engine is one engine. It is an http.Handler and safe for concurrent use.
+// Engine stands in for one engine. It is an http.Handler and safe for concurrent use.
 type Engine struct {
 	c Config
 
-	mu      sync.Mutex
-	behave  func(*http.Request) Behaviour
-	say     func(*http.Request) http.Header
-	runs    []Execution
-	arrived int
-	hold    chan struct{}
-	holding int
-	batch   *batcher.Batcher
-	// ended is closed when this life of the engine ends.
-	ended chan struct{}
+	mu         sync.Mutex
+	behaviour  func(*http.Request) Behaviour
+	headers    func(*http.Request) http.Header
+	executions []Execution
+	received   int
+	release    chan struct{}
+	held       int
+	batch      *batcher.Batcher
+	// restarted is closed when the present incarnation of the engine ends.
+	restarted chan struct{}
 }
 
-// NewEngine returns an engine that serves.
+// NewEngine returns an engine that runs all requests.
 func NewEngine(c Config) *Engine {
 	c.TokensPerEvent = max(c.TokensPerEvent, 1)
-	e := &Engine{c: c, hold: make(chan struct{}), ended: make(chan struct{})}
+	e := &Engine{c: c, release: make(chan struct{}), restarted: make(chan struct{})}
 	if c.Batch != nil {
 		e.batch = batcher.New(*c.Batch)
 	}
 	return e
 }
 
-// SetBehaviour makes the engine ask how to treat each request.
+// SetBehaviour sets a function that chooses the behaviour for each request.
 func (e *Engine) SetBehaviour(f func(*http.Request) Behaviour) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.behave = f
+	e.behaviour = f
 }
 
-// SetHeaders makes the engine ask what it says of itself in the head of each answer, refusals
-// included: headers that are added to those of the protocol.
+// SetHeaders sets a function that returns further headers for each answer, refusals included.
+// They are added to those of the protocol.
 func (e *Engine) SetHeaders(f func(*http.Request) http.Header) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.say = f
+	e.headers = f
 }
 
-// Release lets held requests go on.
+// Release answers the requests that are held now.
 func (e *Engine) Release() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	close(e.hold)
-	e.hold = make(chan struct{})
+	close(e.release)
+	e.release = make(chan struct{})
 }
 
-// Restart ends this life of the engine: what it works on is broken off. The next one has
-// the same id and address, and its own time of birth.
+// Restart ends the present incarnation of the engine: its running requests are aborted. The next
+// incarnation has the same id and address, and another start time.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	close(e.ended)
-	e.ended = make(chan struct{})
+	close(e.restarted)
+	e.restarted = make(chan struct{})
 	e.c.StartedUnixMilli++
 }
 
-// Executions returns what the engine ran, in the order of its beginning.
+// Executions returns the requests that the engine ran, in the order in which they began.
 func (e *Engine) Executions() []Execution {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]Execution(nil), e.runs...)
+	return append([]Execution(nil), e.executions...)
 }
 
-// Received counts the requests that reached the engine, refused ones too.
+// Received returns the number of requests that reached the engine, refused ones included.
 func (e *Engine) Received() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.arrived
+	return e.received
 }
 
-// HeldCount counts the requests that wait for Release.
+// HeldCount returns the number of requests that wait for Release.
 func (e *Engine) HeldCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.holding
+	return e.held
 }
 
-// Record is the engine's entry in the store.
+// Record returns the engine's entry in the store, with a state such as "ready".
 func (e *Engine) Record(state string) map[string]any {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -189,63 +191,64 @@
 	return out
 }
 
-// ServeHTTP takes one request.
+// ServeHTTP handles one request by the behaviour chosen for it.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	e.mu.Lock()
-	e.arrived++
-	behave, say := e.behave, e.say
+	e.received++
+	choose, headers := e.behaviour, e.headers
 	e.mu.Unlock()
-	if say != nil {
-		for name, values := range say(r) {
+	if headers != nil {
+		for name, values := range headers(r) {
 			w.Header()[name] = values
 		}
 	}
-	how := Serve
-	if behave != nil {
-		how = behave(r)
+	behaviour := Serve
+	if choose != nil {
+		behaviour = choose(r)
 	}
 	w.Header().Set("Request-Id", r.Header.Get("Request-Id"))
 	w.Header().Set("Server-Load", e.load())
-	if expected := r.Header.Get("Expect-Instance"); how == Misdirect || expected != "" && expected != e.c.ID {
+	if expected := r.Header.Get("Expect-Instance"); behaviour == Misdirect || expected != "" && expected != e.c.ID {
 		w.Header().Set("Instance-Id", e.c.ID)
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if how == Refuse {
+	if behaviour == Refuse {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	e.mu.Lock()
-	ended := e.ended
+	restarted := e.restarted
 	e.mu.Unlock()
-	if e.batch != nil && how == Serve {
-		e.batched(w, r, string(body), ended)
+	if e.batch != nil && behaviour == Serve {
+		e.serveBatched(w, r, string(body), restarted)
 		return
 	}
-	run := e.begin(r, string(body))
-	e.run(w, r, how, run.After, ended)
+	execution := e.recordExecution(r, string(body))
+	e.execute(w, r, behaviour, execution.After, restarted)
 }
 
-// begin notes that the engine begins to work on a request.
-func (e *Engine) begin(r *http.Request, body string) Execution {
+// recordExecution records that the engine begins to run a request.
+func (e *Engine) recordExecution(r *http.Request, body string) Execution {
 	after, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
-	run := Execution{
+	execution := Execution{
 		Request: r.Header.Get("Request-Id"), Tenant: r.Header.Get("Tenant"), Header: r.Header.Clone(), Method: r.Method,
 		Target: r.RequestURI, Body: body, After: after,
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.runs = append(e.runs, run)
-	return run
+	e.executions = append(e.executions, execution)
+	return execution
 }
 
-func (e *Engine) run(w http.ResponseWriter, r *http.Request, how Behaviour, after int, ended <-chan struct{}) {
-	if how != OmitSignature {
+// execute answers a request that runs. It panics with http.ErrAbortHandler to close the connection.
+func (e *Engine) execute(w http.ResponseWriter, r *http.Request, behaviour Behaviour, after int, restarted <-chan struct{}) {
+	if behaviour != OmitSignature {
 		w.Header().Set("Response-Stamp", "stamp-"+e.c.ID)
 	}
-	switch how {
+	switch behaviour {
 	case Fail:
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, "failed")
@@ -253,46 +256,49 @@
 	case CloseUnanswered:
 		panic(http.ErrAbortHandler)
 	case HoldUntilRelease:
-		e.wait(r, ended)
+		e.waitForRelease(r, restarted)
 	case EncodeUnasked:
 		w.Header().Set("Content-Encoding", "gzip")
 	case OmitLength, AnswerTwice, AnswerWrongRequest:
-		e.raw(w, r, how)
+		e.writeRaw(w, r, behaviour)
 		return
 	}
 	if e.c.StreamLength == 0 {
-		e.plain(w, how)
+		e.writeAnswer(w, behaviour)
 		return
 	}
-	e.stream(w, how, after, ended)
+	e.writeStream(w, behaviour, after, restarted)
 }
 
-// AnswerBody is the body of an engine's plain answer.
+// AnswerBody returns the body of the engine's plain answers.
 func (e *Engine) AnswerBody() string { return "answer of " + e.c.ID }
 
-func (e *Engine) wait(r *http.Request, ended <-chan struct{}) {
+// waitForRelease waits until Release or Restart is called or the client leaves. A restart closes
+// the connection.
+func (e *Engine) waitForRelease(r *http.Request, restarted <-chan struct{}) {
 	e.mu.Lock()
-	hold := e.hold
-	e.holding++
+	release := e.release
+	e.held++
 	e.mu.Unlock()
-	gone := false
+	aborted := false
 	select {
-	case <-hold:
-	case <-ended:
-		gone = true
+	case <-release:
+	case <-restarted:
+		aborted = true
 	case <-r.Context().Done():
 	}
 	e.mu.Lock()
-	e.holding--
+	e.held--
 	e.mu.Unlock()
-	if gone {
+	if aborted {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (e *Engine) plain(w http.ResponseWriter, how Behaviour) {
+// writeAnswer writes a plain answer.
+func (e *Engine) writeAnswer(w http.ResponseWriter, behaviour Behaviour) {
 	text := e.AnswerBody()
-	if how == TruncateAnswer {
+	if behaviour == TruncateAnswer {
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		_, _ = io.WriteString(w, text[:len(text)/2])
 		panic(http.ErrAbortHandler)
@@ -300,19 +306,20 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// EventText is the text of one event of a stream.
+// EventText returns the text of event n of a stream, counted from 1.
 func EventText(n int) string { return fmt.Sprintf("id: %d\ndata: piece %d\n\n", n, n) }
 
-func (e *Engine) stream(w http.ResponseWriter, how Behaviour, after int, ended <-chan struct{}) {
+// writeStream writes the events of a stream after a number of them.
+func (e *Engine) writeStream(w http.ResponseWriter, behaviour Behaviour, after int, restarted <-chan struct{}) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flush := http.NewResponseController(w).Flush
 	for n := after + 1; n <= e.c.StreamLength; n++ {
 		select {
-		case <-ended:
+		case <-restarted:
 			panic(http.ErrAbortHandler)
 		default:
 		}
-		if how == TruncateAnswer && n > e.c.StreamLength/2 {
+		if behaviour == TruncateAnswer && n > e.c.StreamLength/2 {
 			_, _ = io.WriteString(w, EventText(n)[:10])
 			_ = flush()
 			panic(http.ErrAbortHandler)
@@ -322,32 +329,32 @@
 	}
 }
 
-// raw writes answers that the server's library would not.
-func (e *Engine) raw(w http.ResponseWriter, r *http.Request, how Behaviour) {
+// writeRaw writes answers that net/http does not let a handler write.
+func (e *Engine) writeRaw(w http.ResponseWriter, r *http.Request, behaviour Behaviour) {
 	conn, buffer, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		return
 	}
 	defer conn.Close()
 	id, text := r.Header.Get("Request-Id"), e.AnswerBody()
-	switch how {
+	switch behaviour {
 	case OmitLength:
 		fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Stamp: s\r\nConnection: close\r\n\r\n%s", id, text)
 	case AnswerWrongRequest:
-		e.write(conn, "another-request", "not yours")
-		e.write(conn, id, text)
+		e.writeResponse(conn, "another-request", "not yours")
+		e.writeResponse(conn, id, text)
 	case AnswerTwice:
-		e.write(conn, id, text)
-		e.write(conn, id, "second answer")
-		e.serveOn(conn, buffer.Reader)
+		e.writeResponse(conn, id, text)
+		e.writeResponse(conn, id, "second answer")
+		e.answerTwice(conn, buffer.Reader)
 	}
 }
 
-// serveOn answers each further request of a connection twice: the second answer stands where
-// the next one's is due, or has come before that one is sent.
-func (e *Engine) serveOn(conn net.Conn, reader *bufio.Reader) {
+// answerTwice answers each further request of a connection twice. The client receives the second
+// answer before it sends its next request, or in place of the answer to that one.
+func (e *Engine) answerTwice(conn net.Conn, reader *bufio.Reader) {
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(idleTime))
+		_ = conn.SetReadDeadline(time.Now().Add(idleTimeout))
 		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
@@ -356,15 +363,16 @@
 		if err != nil {
 			return
 		}
-		run := e.begin(r, string(body))
-		e.write(conn, run.Request, e.AnswerBody())
-		e.write(conn, run.Request, "second answer")
+		execution := e.recordExecution(r, string(body))
+		e.writeResponse(conn, execution.Request, e.AnswerBody())
+		e.writeResponse(conn, execution.Request, "second answer")
 	}
 }
 
-// idleTime is how long a connection may be idle after an answer that came twice.
-const idleTime = time.Second
+// idleTimeout closes an idle connection on which answers are sent twice.
+const idleTimeout = time.Second
 
-func (e *Engine) write(conn net.Conn, id, text string) {
+// writeResponse writes a complete response with the id of a request.
+func (e *Engine) writeResponse(conn net.Conn, id, text string) {
 	fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nResponse-Stamp: stamp-%s\r\nContent-Length: %d\r\n\r\n%s", id, e.c.ID, len(text), text)
 }
--- a/internal/standin/hosting/store.go
+++ b/internal/standin/hosting/store.go
@@ -10,24 +10,25 @@
 	"time"
 )
 
-// Fault is what a store does to the calls that it matches.
+// Fault is a fault that the store injects into a call.
 type Fault int
 
 // The faults.
 const (
-	// NoFault: the call is served.
+	// NoFault serves the call.
 	NoFault Fault = iota
-	// Unavailable answers 503 and Many 429; nothing is done.
+	// Unavailable answers 503 and TooManyRequests 429; the call has no effect.
 	Unavailable
 	TooManyRequests
-	// LoseAnswer does the call and closes the connection without an answer.
+	// LoseAnswer carries out the call and closes the connection without an answer.
 	LoseAnswer
-	// ResetConnection closes the connection; nothing is done.
+	// ResetConnection closes the connection; the call has no effect.
 	ResetConnection
-	// NeverAnswer never answers; nothing is done.
+	// NeverAnswer never answers; the call has no effect.
 	NeverAnswer
 )
 
+// metadata is the part of an object that the store sets.
 type metadata struct {
 	Name     string
 	Revision uint64
@@ -35,46 +36,50 @@
 	Created uint64
 }
 
+// object is a stored object as it is sent to clients.
 type object struct {
 	Metadata metadata
 	Spec     json.RawMessage
 	Status   json.RawMessage `json:",omitempty"`
 }
 
+// event is one change as a watch sends it.
 type event struct {
 	Object  object
 	Deleted bool
 }
 
+// change is one entry of the history.
 type change struct {
 	revision uint64
 	kind     string
 	event    event
 }
 
-// Call is one call that a store took.
+// Call is one call that the store received.
 type Call struct {
+	// Caller is the host whose handler received the call; see HandlerFor.
 	Caller string
 	Method string
 	Kind   string
 	Name   string
-	// Wait is what a watch asked for.
+	// Wait is how long a watch asked to wait for changes.
 	Wait time.Duration
 }
 
-// Store is the platform's store: objects by kind and name, revisions, lists and
+// Store stands in for the platform's store: objects by kind and name, with revisions, lists and
 // watches. It is safe for concurrent use.
 type Store struct {
 	mu       sync.Mutex
 	revision uint64
-	// dropped is the revision up to which the history is gone.
-	dropped uint64
-	objects map[string]map[string]object
-	history []change
-	changed chan struct{}
-	fault   func(Call) Fault
-	calls   []Call
-	closed  chan struct{}
+	// compacted is the revision up to which the history was dropped.
+	compacted uint64
+	objects   map[string]map[string]object
+	history   []change
+	changed   chan struct{}
+	fault     func(Call) Fault
+	calls     []Call
+	closed    chan struct{}
 }
 
 // NewStore returns an empty store.
@@ -82,14 +87,15 @@
 	return &Store{objects: make(map[string]map[string]object), changed: make(chan struct{}), closed: make(chan struct{})}
 }
 
-// SetFault makes the store ask what to do with each call from now on.
+// SetFault sets a function that chooses the fault of each further call. It is also asked again
+// while a watch waits.
 func (s *Store) SetFault(f func(Call) Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.fault = f
 }
 
-// Write replaces or creates an object, as the operator and endpoints do.
+// Write creates or replaces an object, without a condition, as operators and endpoints do.
 func (s *Store) Write(kind, name string, spec any) {
 	raw, _ := json.Marshal(spec)
 	s.mu.Lock()
@@ -104,28 +110,28 @@
 	s.remove(kind, name)
 }
 
-// Compact makes a change unseen by the watches that are open, and drops the
-// history: they stay open and hear nothing of it.
-func (s *Store) Compact(unseen func()) {
+// Compact calls a function that writes to the store, hides its changes from the open watches and
+// drops the history. The watches stay open and are not woken.
+func (s *Store) Compact(write func()) {
 	s.mu.Lock()
-	waiting := s.changed
+	watched := s.changed
 	s.changed = make(chan struct{})
 	s.mu.Unlock()
-	unseen()
+	write()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropped, s.history = s.revision, nil
-	s.changed = waiting
+	s.compacted, s.history = s.revision, nil
+	s.changed = watched
 }
 
-// Spec returns an object's content; nil if there is none.
+// Spec returns an object's spec; nil if there is none.
 func (s *Store) Spec(kind, name string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.objects[kind][name].Spec
 }
 
-// SetStatus replaces the state of an object.
+// SetStatus replaces the status of an object.
 func (s *Store) SetStatus(kind, name string, status any) {
 	raw, _ := json.Marshal(status)
 	s.mu.Lock()
@@ -133,23 +139,24 @@
 	s.put(kind, name, s.objects[kind][name].Spec, raw)
 }
 
-// Status returns an object's state; nil if there is none.
+// Status returns an object's status; nil if there is none.
 func (s *Store) Status(kind, name string) json.RawMessage {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.objects[kind][name].Status
 }
 
-// Calls returns the calls taken so far.
+// Calls returns the calls received so far.
 func (s *Store) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]Call(nil), s.calls...)
 }
 
-// Close ends silent calls and watches.
+// Close ends the calls that get no answer and the open watches.
 func (s *Store) Close() { close(s.closed) }
 
+// put writes an object and records the change. The caller holds the lock.
 func (s *Store) put(kind, name string, spec, status json.RawMessage) object {
 	s.revision++
 	o := object{Metadata: metadata{Name: name, Revision: s.revision, Created: s.revision}, Spec: spec, Status: status}
@@ -160,10 +167,11 @@
 		s.objects[kind] = make(map[string]object)
 	}
 	s.objects[kind][name] = o
-	s.note(kind, event{Object: o})
+	s.record(kind, event{Object: o})
 	return o
 }
 
+// remove deletes an object and records the change. The caller holds the lock.
 func (s *Store) remove(kind, name string) {
 	o, ok := s.objects[kind][name]
 	if !ok {
@@ -172,22 +180,23 @@
 	s.revision++
 	delete(s.objects[kind], name)
 	o.Metadata.Revision = s.revision
-	s.note(kind, event{Object: o, Deleted: true})
+	s.record(kind, event{Object: o, Deleted: true})
 }
 
-func (s *Store) note(kind string, e event) {
+// record adds a change to the history and wakes the watches. The caller holds the lock.
+func (s *Store) record(kind string, e event) {
 	s.history = append(s.history, change{s.revision, kind, e})
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// HandlerFor returns the store as one host sees it: its calls bear the host's name, so
-// that a fault can be for some hosts only.
+// HandlerFor returns a handler for the calls of one host. Call.Caller names the host, so that
+// faults can be injected for some hosts only.
 func (s *Store) HandlerFor(caller string) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.take(w, r, caller) })
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.handle(w, r, caller) })
 }
 
-func (s *Store) take(w http.ResponseWriter, r *http.Request, caller string) {
+func (s *Store) handle(w http.ResponseWriter, r *http.Request, caller string) {
 	kind, name, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/api/objects/"), "/")
 	wait, _ := strconv.Atoi(r.URL.Query().Get("WaitMs"))
 	c := Call{Caller: caller, Method: r.Method, Kind: kind, Name: name, Wait: time.Duration(wait) * time.Millisecond}
@@ -219,7 +228,7 @@
 	}
 }
 
-// discard drops an answer.
+// discard is an http.ResponseWriter that drops the answer.
 type discard struct{}
 
 func (discard) Header() http.Header         { return http.Header{} }
@@ -292,8 +301,9 @@
 	answer(w, status, o)
 }
 
-// change does a call that writes, if its condition holds. Nobody waits for the store
-// while the answer is on its way over a narrow link.
+// change carries out a write if its condition holds, and returns the status and the object to
+// answer with. The lock is released before the answer is sent, so that a client with a slow link
+// does not block the store.
 func (s *Store) change(method, kind, name string, in object, isStatus bool) (int, object) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -313,8 +323,8 @@
 	return http.StatusOK, s.put(kind, name, in.Spec, old.Status)
 }
 
-// turnedAway tells whether a call that waits would not be served any more.
-func (s *Store) turnedAway(c Call) bool {
+// faulty reports whether a fault is by now set for a watch that is open.
+func (s *Store) faulty(c Call) bool {
 	s.mu.Lock()
 	fault := s.fault
 	s.mu.Unlock()
@@ -327,25 +337,25 @@
 	wait, _ := strconv.Atoi(r.URL.Query().Get("WaitMs"))
 	timer := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer timer.Stop()
-	for over := false; ; {
+	for timedOut := false; ; {
 		s.mu.Lock()
-		events, revision, gone, changed := s.since(kind, after), s.revision, after < s.dropped, s.changed
+		events, revision, compacted, changed := s.since(kind, after), s.revision, after < s.compacted, s.changed
 		s.mu.Unlock()
-		if s.turnedAway(c) {
+		if s.faulty(c) {
 			panic(http.ErrAbortHandler)
 		}
-		if gone {
+		if compacted {
 			w.WriteHeader(http.StatusGone)
 			return
 		}
-		if len(events) > 0 || over {
+		if len(events) > 0 || timedOut {
 			answer(w, http.StatusOK, map[string]any{"events": events, "AsOf": revision})
 			return
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-r.Context().Done():
 			return
 		case <-s.closed:
@@ -354,6 +364,7 @@
 	}
 }
 
+// since returns the changes of a kind after a revision. The caller holds the lock.
 func (s *Store) since(kind string, after uint64) []event {
 	out := []event{}
 	for _, c := range s.history {
