--- a/internal/standin/engine/admin.go
+++ b/internal/standin/engine/admin.go
@@ -14,17 +14,18 @@
 	e.mu.Lock()
 	now := report.Report{
 		Endpoint: e.c.Endpoint, Taken: time.Now(), Running: e.running, Queued: e.queued,
-		QueuedTokens: identifier.Tokens(e.waiting), Model: e.c.Model,
+		QueuedTokens: identifier.Tokens(e.pendingPrefill), Model: e.c.Model,
 		FencingNumber: e.fencing, Leaving: e.behaviour.Leaving, Incarnation: e.c.Incarnation,
 	}
-	shown := e.lagging(now)
+	shown := e.delayed(now)
 	e.mu.Unlock()
 	answer(w, shown)
 }
 
-// lagging returns the newest report that is at least the lag old. Leaving is
-// never delayed: the host itself tells it.
-func (e *Engine) lagging(now report.Report) report.Report {
+// delayed records a report and returns the newest one that is at least the lag old,
+// or the oldest. Leaving is never delayed, as the host itself knows of its reclaim
+// notice.
+func (e *Engine) delayed(now report.Report) report.Report {
 	if e.c.LoadLag == 0 {
 		return now
 	}
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -13,30 +13,33 @@
 )
 
 const (
-	eventMemory   = 4096
+	// maxEvents is the number of cache events above which the older half is dropped.
+	maxEvents     = 4096
 	importTimeout = 500 * time.Millisecond
 )
 
-// Event is one change of the prefix cache.
+// Event is a block that was stored in the prefix cache or evicted from it. Events are
+// numbered from 1.
 type Event struct {
 	Number uint64
 	Block  prefix.Block
 	Stored bool
 }
 
-// Events is an answer of the events path: what is still remembered after a
-// number. First above the number asked for plus one shows a gap.
+// Events holds the remembered events after a number, and the number of the newest
+// event. If the first event is not the one after the number asked for, some were
+// lost.
 type Events struct {
 	Next   uint64
 	Events []Event
 }
 
-// blockCache is a prefix cache that drops the blocks used least recently.
+// blockCache is a prefix cache with LRU eviction.
 type blockCache struct {
 	size   int
 	order  *list.List
 	blocks map[prefix.Block]*list.Element
-	next   uint64
+	last   uint64
 	events []Event
 }
 
@@ -44,7 +47,7 @@
 	return blockCache{size: size, order: list.New(), blocks: make(map[prefix.Block]*list.Element)}
 }
 
-// match counts the leading blocks that are cached.
+// match returns the number of leading blocks that are cached.
 func (c *blockCache) match(blocks []prefix.Block) int {
 	for i, b := range blocks {
 		if c.blocks[b] == nil {
@@ -54,6 +57,8 @@
 	return len(blocks)
 }
 
+// add stores blocks, or marks them as used, and evicts the least recently used ones
+// above the size.
 func (c *blockCache) add(blocks []prefix.Block) {
 	for _, b := range blocks {
 		if el := c.blocks[b]; el != nil {
@@ -61,21 +66,22 @@
 			continue
 		}
 		c.blocks[b] = c.order.PushFront(b)
-		c.tell(b, true)
+		c.addEvent(b, true)
 	}
 	for c.order.Len() > c.size {
 		oldest := c.order.Back()
 		b := c.order.Remove(oldest).(prefix.Block)
 		delete(c.blocks, b)
-		c.tell(b, false)
+		c.addEvent(b, false)
 	}
 }
 
-func (c *blockCache) tell(b prefix.Block, stored bool) {
-	c.next++
-	c.events = append(c.events, Event{c.next, b, stored})
-	if len(c.events) > eventMemory {
-		c.events = append([]Event(nil), c.events[eventMemory/2:]...)
+// addEvent records the change of a block.
+func (c *blockCache) addEvent(b prefix.Block, stored bool) {
+	c.last++
+	c.events = append(c.events, Event{c.last, b, stored})
+	if len(c.events) > maxEvents {
+		c.events = append([]Event(nil), c.events[maxEvents/2:]...)
 	}
 }
 
@@ -83,7 +89,7 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	out := Events{Next: e.cache.next}
+	out := Events{Next: e.cache.last}
 	for _, ev := range e.cache.events {
 		if ev.Number > after {
 			out.Events = append(out.Events, ev)
@@ -92,8 +98,8 @@
 	answer(w, out)
 }
 
-// export answers with the cached blocks of a stream's prompt.
-func (e *Engine) export(w http.ResponseWriter, r *http.Request) {
+// exportStream answers with the blocks of a stream's prompt, whether cached or not.
+func (e *Engine) exportStream(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.streams[r.PathValue("id")]
@@ -104,20 +110,20 @@
 	answer(w, prefix.Blocks(nil, s.prompt))
 }
 
-// exportKV answers with those of the blocks asked for that are cached.
-func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
-	var asked []prefix.Block
-	if json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&asked) != nil {
+// exportBlocks answers with the leading blocks of a list that are cached.
+func (e *Engine) exportBlocks(w http.ResponseWriter, r *http.Request) {
+	var blocks []prefix.Block
+	if json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&blocks) != nil {
 		http.Error(w, "a list of blocks", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	answer(w, asked[:e.cache.match(asked)])
+	answer(w, blocks[:e.cache.match(blocks)])
 }
 
-// importKV copies blocks from the engine that holds them.
-func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
+// importBlocks copies blocks from the engine that holds them.
+func (e *Engine) importBlocks(w http.ResponseWriter, r *http.Request) {
 	var in struct {
 		Source string
 		Blocks []prefix.Block
@@ -134,12 +140,13 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	e.take(req)
+	e.fetch(req)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// take adds the blocks that another engine answers with to the cache.
-func (e *Engine) take(req *http.Request) {
+// fetch calls another engine and adds the blocks of its answer to the cache. A
+// failure is ignored: the tokens are then computed again.
+func (e *Engine) fetch(req *http.Request) {
 	resp, err := e.c.Transport.RoundTrip(req)
 	if err != nil {
 		return
@@ -154,14 +161,13 @@
 	e.cache.add(blocks)
 }
 
-// importBlocks copies a stream's cache blocks from another engine. Failing is
-// no error: the tokens are then computed again.
-func (e *Engine) importBlocks(ctx context.Context, source, id string) {
+// importStream copies a stream's cache blocks from another engine.
+func (e *Engine) importStream(ctx context.Context, source, id string) {
 	ctx, cancel := context.WithTimeout(ctx, importTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+source+"/v1/kv/"+id, nil)
 	if err != nil {
 		return
 	}
-	e.take(req)
+	e.fetch(req)
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,12 +1,11 @@
-// Package engine is a small stand-in for a model engine.
+// Package engine is a stand-in for a model engine.
 //
-// # What it imitates
-//
-// Continuous batching in a set number of slots, a prefix cache of limited
-// size, streams that outlive their connection for a while and can be resumed
-// or cancelled, export and import of cache blocks, lagging load reports, late
-// and gappy cache events, and orders with a fencing number that it honours or
-// ignores. It generates no language: package textmaker makes its tokens.
+// It does continuous batching in a fixed number of slots, prefills one prompt at a
+// time and keeps a prefix cache of limited size. Its streams outlive their
+// connection for a while and can be resumed or cancelled. It exports and imports
+// cache blocks, sends late load reports, remembers a limited number of cache
+// events, so that a slow reader misses some, and checks or ignores the fencing
+// number of orders. Its tokens come from package textgenerator, not from a model.
 //
 // # Usage
 //
@@ -15,18 +14,19 @@
 //
 // # Paths
 //
-//	POST   /v1/chat/completions  a stream; Request-Id names it
-//	POST   /v1/streams/resume    a resumption
-//	DELETE /v1/streams/ID        cancel
+//	POST   /v1/chat/completions  start a stream; Request-Id is its id
+//	POST   /v1/streams/resume    resume a stream
+//	DELETE /v1/streams/ID        cancel a stream
 //	GET    /v1/load              load report
-//	GET    /v1/kv/ID             cache blocks of a stream
+//	GET    /v1/kv/ID             cache blocks of a stream's prompt
 //	POST   /v1/kv/import         copy cache blocks from another engine
-//	POST   /v1/kv/export         those of the blocks named that are held
+//	POST   /v1/kv/export         the leading blocks of a list that are cached
 //	GET    /v1/cache/events      changes of the prefix cache
-//	POST   /v1/orders            wanted state
-//	GET    /admin/executions     how often each request began
-//	GET    /admin/traces         the Traceparent of each stream
-//	POST   /admin/behaviour      gates and faults, see Behaviour
+//	POST   /v1/orders            desired state
+//	GET    /admin/executions     number of executions of each request
+//	GET    /admin/traces         Traceparent of each stream
+//	GET    /admin/orders         orders accepted
+//	POST   /admin/behaviour      set gates and faults; see Behaviour
 package engine
 
 import (
@@ -54,48 +54,51 @@
 	defaultLinger    = 10 * time.Second
 )
 
-// Config sets what the engine is and how fast.
+// Config describes the engine, its capacity and its speed.
 type Config struct {
 	Endpoint    identifier.Endpoint
 	Incarnation identifier.Incarnation
 	Model       string
-	// Slots is the number of streams that generate at once; others queue.
+	// Slots is the number of streams that run at once; others queue. 0 stands for 8.
 	Slots int
-	// PrefillPerSecond and DecodePerSecond are speeds in tokens; 0 is at once.
+	// PrefillPerSecond and DecodePerSecond are speeds in tokens; 0 takes no time. Prompts share
+	// the prefill speed, each stream decodes at its own.
 	PrefillPerSecond int
 	DecodePerSecond  int
-	// CacheBlocks is the size of the prefix cache.
+	// CacheBlocks is the size of the prefix cache in blocks; 0 stands for 4096.
 	CacheBlocks int
-	// Linger is how long a stream without reader lives on.
+	// Linger is how long a stream without a reader is kept; 0 stands for 10 s.
 	Linger time.Duration
-	// IgnoresFencing takes orders with any fencing number.
+	// IgnoresFencing accepts orders with a lower fencing number than an earlier one.
 	IgnoresFencing bool
-	// LoadLag makes load reports show the past.
+	// LoadLag is the age of the state that load reports show.
 	LoadLag time.Duration
-	// Transport reaches other engines to import cache from; nil for HTTP.
+	// Transport calls the engines from which cache blocks are imported; nil stands for
+	// http.DefaultTransport.
 	Transport http.RoundTripper
 }
 
-// Behaviour is what tests and experiments switch. The zero value is a healthy
-// engine.
+// Behaviour sets gates and faults for tests and experiments. The zero value is a
+// healthy engine.
 type Behaviour struct {
-	// Gate, if not zero, is the token at which all streams wait.
+	// Gate, if not zero, is the number of tokens after which all streams wait.
 	Gate int
 	// CrossAt, DuplicateAt and EndAt, if not zero, are the tokens at which a
-	// stream sends another stream's frame, sends a frame twice, or ends
-	// without its end mark.
+	// stream sends a frame of another stream, sends a frame twice, or ends
+	// without the end marker.
 	CrossAt     int
 	DuplicateAt int
 	EndAt       int
 	// Leaving shows a reclaim notice in the load report.
 	Leaving bool
-	// Refuse answers new work with an explicit refusal.
+	// Refuse answers new streams with Not-Run and 503.
 	Refuse bool
-	// Slow divides the speeds, if above 1.
+	// Slow, if above 1, divides the speeds.
 	Slow int
 }
 
-// Engine is the stand-in. Use New.
+// Engine stands in for one engine. It is an http.Handler and safe for concurrent
+// use. Use New.
 type Engine struct {
 	c   Config
 	mux http.ServeMux
@@ -106,12 +109,14 @@
 	streams   map[string]*stream
 	running   int
 	queued    int
-	// waiting are the prompt tokens not read yet; reading lets one prompt be
-	// read at a time, so that prompts queue as they do on an accelerator.
-	waiting    int
-	reading    chan struct{}
+	// pendingPrefill is the number of prompt tokens not prefilled yet. prefillSlot
+	// lets one prompt be prefilled at a time, so that prompts queue as they do on an
+	// accelerator.
+	pendingPrefill int
+	prefillSlot    chan struct{}
+	// executions counts the streams started, by request id.
 	executions map[string]int
-	// traces are the trace ids that came with streams.
+	// traces holds the Traceparent header of each stream.
 	traces  map[string]string
 	fencing uint64
 	orders  []order.Order
@@ -119,23 +124,23 @@
 	reports []report.Report
 }
 
-// stream is one generation in progress or kept for resumption.
+// stream is a stream that runs or is kept for resumption.
 type stream struct {
-	id      string
-	prompt  string
-	maker   textgenerator.Generator
-	total   int
-	made    int
-	started time.Time
-	readers int
-	idle    time.Time
-	gone    bool
-	usage   frame.Usage
+	id        string
+	prompt    string
+	generator textgenerator.Generator
+	maxTokens int
+	generated int
+	started   time.Time
+	readers   int
+	idleSince time.Time
+	ended     bool
+	usage     frame.Usage
 }
 
 var _ http.Handler = (*Engine)(nil)
 
-// New returns an engine that is ready to serve.
+// New returns an engine that serves.
 func New(c Config) *Engine {
 	if c.Slots == 0 {
 		c.Slots = defaultSlots
@@ -151,15 +156,15 @@
 	}
 	e := &Engine{c: c, streams: make(map[string]*stream), executions: make(map[string]int), traces: make(map[string]string)}
 	e.cache = newBlockCache(c.CacheBlocks)
-	e.reading = make(chan struct{}, 1)
+	e.prefillSlot = make(chan struct{}, 1)
 	e.changed = sync.NewCond(&e.mu)
 	e.mux.HandleFunc("POST /v1/chat/completions", e.complete)
 	e.mux.HandleFunc("POST /v1/streams/resume", e.resume)
 	e.mux.HandleFunc("DELETE /v1/streams/{id}", e.cancel)
 	e.mux.HandleFunc("GET /v1/load", e.load)
-	e.mux.HandleFunc("GET /v1/kv/{id}", e.export)
-	e.mux.HandleFunc("POST /v1/kv/import", e.importKV)
-	e.mux.HandleFunc("POST /v1/kv/export", e.exportKV)
+	e.mux.HandleFunc("GET /v1/kv/{id}", e.exportStream)
+	e.mux.HandleFunc("POST /v1/kv/import", e.importBlocks)
+	e.mux.HandleFunc("POST /v1/kv/export", e.exportBlocks)
 	e.mux.HandleFunc("GET /v1/cache/events", e.events)
 	e.mux.HandleFunc("POST /v1/orders", e.order)
 	e.mux.HandleFunc("GET /admin/executions", e.listExecutions)
@@ -169,10 +174,10 @@
 	return e
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one call.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) { e.mux.ServeHTTP(w, r) }
 
-// input is what the engine reads of a request's body.
+// input holds the fields of a request's body that the engine uses.
 type input struct {
 	Model    string `json:"model"`
 	Messages []struct {
@@ -182,6 +187,7 @@
 	MaxTokens int    `json:"max_tokens"`
 }
 
+// text returns the prompt and the messages as one text.
 func (in *input) text() string {
 	text := in.Prompt
 	for i := range in.Messages {
@@ -196,7 +202,7 @@
 		http.Error(w, "body cut or too large", http.StatusBadRequest)
 		return
 	}
-	s, code := e.begin(r.Header.Get("Request-Id"), body, nil)
+	s, code := e.start(r.Header.Get("Request-Id"), body, nil)
 	if code != http.StatusOK {
 		e.refuse(w, code)
 		return
@@ -212,8 +218,9 @@
 	http.Error(w, "not run", code)
 }
 
-// begin starts a stream; delivered tokens count as computed anew.
-func (e *Engine) begin(id string, body []byte, delivered []string) (*stream, int) {
+// start starts a stream after the tokens that were delivered, which count as
+// recomputed. It returns an HTTP status other than 200 if it refuses.
+func (e *Engine) start(id string, body []byte, delivered []string) (*stream, int) {
 	var in input
 	if json.Unmarshal(body, &in) != nil || id == "" {
 		return nil, http.StatusBadRequest
@@ -229,8 +236,8 @@
 	if in.MaxTokens == 0 {
 		in.MaxTokens = defaultMaxTokens
 	}
-	s := &stream{id: id, prompt: in.text(), total: in.MaxTokens, made: len(delivered), started: time.Now(), idle: time.Now()}
-	s.maker = textgenerator.New(s.prompt)
+	s := &stream{id: id, prompt: in.text(), maxTokens: in.MaxTokens, generated: len(delivered), started: time.Now(), idleSince: time.Now()}
+	s.generator = textgenerator.New(s.prompt)
 	e.streams[id] = s
 	e.executions[id]++
 	e.queued++
@@ -238,7 +245,8 @@
 	return s, http.StatusOK
 }
 
-// generate makes a stream's tokens, at the engine's pace, into its record.
+// generate waits for a slot, prefills the prompt and generates the tokens of a
+// stream at the engine's speed.
 func (e *Engine) generate(s *stream, promptTokens identifier.Tokens, delivered int) {
 	if !e.acquire(s) {
 		return
@@ -253,56 +261,60 @@
 	if delivered > 0 {
 		s.usage.RecomputedTokens = identifier.Tokens(uncached)
 	}
-	e.read(uncached)
+	e.prefill(uncached)
 	e.mu.Lock()
 	e.cache.add(blocks)
 	e.mu.Unlock()
 	for e.step(s) {
-		e.pause(1, e.c.DecodePerSecond)
+		e.sleep(1, e.c.DecodePerSecond)
 	}
 }
 
-// read spends the time of reading a prompt.
-func (e *Engine) read(tokens int) {
+// prefill takes the time that the prefill of tokens takes.
+func (e *Engine) prefill(tokens int) {
 	if e.c.PrefillPerSecond == 0 {
 		return
 	}
-	e.wait(tokens)
-	e.reading <- struct{}{}
-	e.pause(tokens, e.c.PrefillPerSecond)
-	<-e.reading
-	e.wait(-tokens)
+	e.addPending(tokens)
+	e.prefillSlot <- struct{}{}
+	e.sleep(tokens, e.c.PrefillPerSecond)
+	<-e.prefillSlot
+	e.addPending(-tokens)
 }
 
-func (e *Engine) wait(tokens int) {
+// addPending adds to the number of pending prompt tokens.
+func (e *Engine) addPending(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.waiting += tokens
+	e.pendingPrefill += tokens
 }
 
+// acquire waits for a slot. It returns false if the stream ends first.
 func (e *Engine) acquire(s *stream) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for e.running >= e.c.Slots && !s.gone {
+	for e.running >= e.c.Slots && !s.ended {
 		e.changed.Wait()
 	}
 	e.queued--
-	if s.gone {
+	if s.ended {
 		return false
 	}
 	e.running++
 	return true
 }
 
+// release frees the slot and keeps the stream for the linger time.
 func (e *Engine) release(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
 	e.changed.Broadcast()
-	time.AfterFunc(e.c.Linger, func() { e.forget(s) })
+	time.AfterFunc(e.c.Linger, func() { e.remove(s) })
 }
 
-func (e *Engine) forget(s *stream) {
+// remove removes a stream that is still held under its id.
+func (e *Engine) remove(s *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.streams[s.id] == s {
@@ -310,25 +322,27 @@
 	}
 }
 
-// step makes one token; it reports false when the stream is over.
+// step generates one token and reports whether more are left. A stream that has had
+// no reader for longer than the linger time ends.
 func (e *Engine) step(s *stream) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for e.behaviour.Gate > 0 && s.made >= e.behaviour.Gate && !s.gone && s.made < s.total {
+	for e.behaviour.Gate > 0 && s.generated >= e.behaviour.Gate && !s.ended && s.generated < s.maxTokens {
 		e.changed.Wait()
 	}
-	if s.readers == 0 && time.Since(s.idle) > e.c.Linger {
-		s.gone = true
+	if s.readers == 0 && time.Since(s.idleSince) > e.c.Linger {
+		s.ended = true
 	}
-	if s.gone || s.made >= s.total {
+	if s.ended || s.generated >= s.maxTokens {
 		return false
 	}
-	s.made++
+	s.generated++
 	e.changed.Broadcast()
-	return s.made < s.total
+	return s.generated < s.maxTokens
 }
 
-func (e *Engine) pause(tokens, perSecond int) {
+// sleep takes the time of a number of tokens at a speed.
+func (e *Engine) sleep(tokens, perSecond int) {
 	if perSecond == 0 || tokens == 0 {
 		return
 	}
@@ -338,10 +352,10 @@
 	time.Sleep(time.Duration(tokens) * time.Second * time.Duration(slow) / time.Duration(perSecond))
 }
 
-// serve sends a stream's tokens from an offset to one reader.
+// serve sends the tokens of a stream from an offset on to one reader.
 func (e *Engine) serve(w http.ResponseWriter, r *http.Request, s *stream, id string, offset int) {
-	e.attach(s, 1)
-	defer e.attach(s, -1)
+	e.addReaders(s, 1)
+	defer e.addReaders(s, -1)
 	stop := context.AfterFunc(r.Context(), func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -349,14 +363,14 @@
 	})
 	defer stop()
 	w.Header().Set("Content-Type", "text/event-stream")
-	out := writer{w: w, s: s, id: id, model: e.model()}
+	out := writer{out: w, stream: s, id: id, model: e.model()}
 	out.flush()
 	for ; ; offset++ {
 		b, ok := e.await(r.Context(), s, offset)
 		if !ok || (b.EndAt > 0 && offset >= b.EndAt) {
 			return
 		}
-		if offset >= s.total {
+		if offset >= s.maxTokens {
 			break
 		}
 		out.token(offset, &b)
@@ -370,22 +384,24 @@
 	return e.c.Model
 }
 
-func (e *Engine) attach(s *stream, n int) {
+// addReaders changes the number of readers of a stream.
+func (e *Engine) addReaders(s *stream, n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s.readers += n
-	s.idle = time.Now()
+	s.idleSince = time.Now()
 	e.changed.Broadcast()
 }
 
-// await waits until the token at offset is made or the stream is over.
+// await waits until the token at an offset has been generated or the stream is
+// over. It returns false if the stream or its reader has ended.
 func (e *Engine) await(ctx context.Context, s *stream, offset int) (Behaviour, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for s.made <= offset && s.made < s.total && !s.gone && ctx.Err() == nil {
+	for s.generated <= offset && s.generated < s.maxTokens && !s.ended && ctx.Err() == nil {
 		e.changed.Wait()
 	}
-	return e.behaviour, ctx.Err() == nil && !s.gone
+	return e.behaviour, ctx.Err() == nil && !s.ended
 }
 
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
@@ -394,7 +410,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if s, ok := e.adopt(in.Stream, in.ID); ok {
+	if s, ok := e.rename(in.Stream, in.ID); ok {
 		e.serve(w, r, s, in.ID, in.Offset)
 		return
 	}
@@ -403,9 +419,9 @@
 		return
 	}
 	if in.KVSource != "" {
-		e.importBlocks(r.Context(), in.KVSource, in.Stream)
+		e.importStream(r.Context(), in.KVSource, in.Stream)
 	}
-	s, code := e.begin(in.ID, in.Original, in.Delivered)
+	s, code := e.start(in.ID, in.Original, in.Delivered)
 	if code != http.StatusOK {
 		e.refuse(w, code)
 		return
@@ -413,12 +429,12 @@
 	e.serve(w, r, s, in.ID, in.Offset)
 }
 
-// adopt gives a held stream its new id.
-func (e *Engine) adopt(old, id string) (*stream, bool) {
+// rename gives a held stream the id of the request that resumes it.
+func (e *Engine) rename(old, id string) (*stream, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	s, ok := e.streams[old]
-	if !ok || s.gone {
+	if !ok || s.ended {
 		return nil, false
 	}
 	delete(e.streams, old)
@@ -435,7 +451,7 @@
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
 	}
-	s.gone = true
+	s.ended = true
 	delete(e.streams, s.id)
 	e.changed.Broadcast()
 	w.WriteHeader(http.StatusNoContent)
--- a/internal/standin/engine/writer.go
+++ b/internal/standin/engine/writer.go
@@ -9,19 +9,20 @@
 	"brasschute/internal/engine/frame"
 )
 
-// writer sends the frames of one stream, faults included.
+// writer writes the frames of one stream to one reader and injects faults.
 type writer struct {
-	w http.ResponseWriter
-	s *stream
-	// id is the stream's id when this reader came; a resumption changes the
-	// stream's own.
+	out    http.ResponseWriter
+	stream *stream
+	// id is the stream's id when this reader was attached; a resumption changes
+	// the id of the stream.
 	id    string
 	model string
 }
 
-func (o *writer) token(offset int, b *Behaviour) {
-	f := o.frame(offset)
-	f.Choices[0].Delta = &frame.Message{Content: o.s.maker.Token(offset)}
+// token writes the frame of the token at an offset.
+func (w *writer) token(offset int, b *Behaviour) {
+	f := w.frame(offset)
+	f.Choices[0].Delta = &frame.Message{Content: w.stream.generator.Token(offset)}
 	if offset == 0 {
 		f.Choices[0].Delta.Role = "assistant"
 	}
@@ -29,38 +30,39 @@
 		other := f
 		other.ID = "another-stream"
 		other.Choices = []frame.Choice{{Delta: &frame.Message{Content: "another caller's text "}}}
-		o.send(other)
+		w.send(other)
 	}
-	o.send(f)
+	w.send(f)
 	if b.DuplicateAt > 0 && offset == b.DuplicateAt {
-		o.send(f)
+		w.send(f)
 	}
 }
 
-func (o *writer) end() {
-	f := o.frame(o.s.total)
+// end writes the last frame, with the usage, and the end marker.
+func (w *writer) end() {
+	f := w.frame(w.stream.maxTokens)
 	reason := "stop"
 	f.Choices[0].Delta = &frame.Message{}
 	f.Choices[0].FinishReason = &reason
-	usage := o.s.usage
-	usage.CompletionTokens = identifier.Tokens(o.s.total)
+	usage := w.stream.usage
+	usage.CompletionTokens = identifier.Tokens(w.stream.maxTokens)
 	f.Usage = &usage
-	o.send(f)
-	fmt.Fprintf(o.w, "data: %s\n\n", frame.EndMarker)
-	o.flush()
+	w.send(f)
+	fmt.Fprintf(w.out, "data: %s\n\n", frame.EndMarker)
+	w.flush()
 }
 
-func (o *writer) frame(offset int) frame.Frame {
+func (w *writer) frame(offset int) frame.Frame {
 	return frame.Frame{
-		ID: o.id, Object: "chat.completion.chunk", Created: o.s.started.Unix(), Model: o.model,
+		ID: w.id, Object: "chat.completion.chunk", Created: w.stream.started.Unix(), Model: w.model,
 		Offset: offset, Choices: []frame.Choice{{}},
 	}
 }
 
-func (o *writer) send(f frame.Frame) {
+func (w *writer) send(f frame.Frame) {
 	data, _ := json.Marshal(f)
-	fmt.Fprintf(o.w, "data: %s\n\n", data)
-	o.flush()
+	fmt.Fprintf(w.out, "data: %s\n\n", data)
+	w.flush()
 }
 
-func (o *writer) flush() { _ = http.NewResponseController(o.w).Flush() }
+func (w *writer) flush() { _ = http.NewResponseController(w.out).Flush() }
