--- a/internal/standin/platform/cloud.go
+++ b/internal/standin/platform/cloud.go
@@ -16,25 +16,25 @@
 
 const headerTimeout = 5 * time.Second
 
-// rented is a host that the cloud has started.
-type rented struct {
+// startedHost is a host that the cloud API has started.
+type startedHost struct {
 	host   inventory.Host
 	server *http.Server
 }
 
-// ReclaimWave reclaims all hosts of a zone, or those of one class.
+// ReclaimWave reclaims all hosts of a zone, or those of one class, at a deadline.
 type ReclaimWave struct {
 	AvailabilityZone identifier.AvailabilityZone
-	// Class is empty for all.
+	// Class is empty for all classes.
 	Class    string
 	Deadline time.Time
 }
 
-// CloudCalls counts what was asked of the cloud API.
+// CloudCalls counts the calls of the cloud API.
 type CloudCalls struct {
 	Starts  int64
 	Refused int64
-	// Started counts the hosts that were really started.
+	// Started counts the hosts started; a repeated token starts none.
 	Started int64
 	Stops   int64
 }
@@ -42,48 +42,49 @@
 func (p *Platform) cloudPaths() {
 	p.mux.HandleFunc("POST /cloud/hosts", p.startHost)
 	p.mux.HandleFunc("DELETE /cloud/hosts/{host}", p.stopHost)
-	p.mux.HandleFunc("POST /admin/waves", p.wave)
+	p.mux.HandleFunc("POST /admin/waves", p.postWave)
 	p.mux.HandleFunc("GET /admin/cloud", p.getCloudCalls)
 }
 
-// startHost starts an engine on a new host, once a token.
+// startHost starts a host with an engine. A repeated token gets the host of the first
+// call.
 func (p *Platform) startHost(w http.ResponseWriter, r *http.Request) {
 	var s cloud.Start
-	if !read(w, r, &s) {
+	if !readJSON(w, r, &s) {
 		return
 	}
 	p.mu.Lock()
 	p.cloudCalls.Starts++
-	host, known := p.tokens[s.Token]
+	host, repeated := p.startTokens[s.Token]
 	place := fmt.Sprintf("%s/%s", s.AvailabilityZone, s.Class)
 	refused := slices.Contains(p.faults.RefuseStarts, place) || slices.Contains(p.faults.RefuseStarts, "*")
-	if !known && refused {
+	if !repeated && refused {
 		p.cloudCalls.Refused++
 		p.mu.Unlock()
 		http.Error(w, "no such host to give", http.StatusConflict)
 		return
 	}
-	if !known {
+	if !repeated {
 		p.cloudCalls.Started++
 		host = identifier.Host(fmt.Sprintf("rented-%d", p.cloudCalls.Started))
-		p.tokens[s.Token] = host
+		p.startTokens[s.Token] = host
 	}
 	lose := p.faults.LoseStarts > 0
 	if lose {
 		p.faults.LoseStarts--
 	}
 	p.mu.Unlock()
-	if !known {
+	if !repeated {
 		time.AfterFunc(p.c.StartTime, func() { p.boot(host, &s) })
 	}
 	if lose {
-		drop(w)
+		closeUnanswered(w)
 		return
 	}
-	answer(w, cloud.Started{Host: host})
+	writeJSON(w, cloud.Started{Host: host})
 }
 
-// boot brings up the host's engine, without a model, and lists it.
+// boot starts the engine of a host, without a model, and registers the host.
 func (p *Platform) boot(host identifier.Host, s *cloud.Start) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -98,11 +99,12 @@
 		Endpoints: []inventory.Endpoint{{Endpoint: name, Pool: s.Pool, Address: l.Addr().String()}},
 	}
 	p.mu.Lock()
-	p.rented[host] = &rented{h, server}
+	p.started[host] = &startedHost{h, server}
 	p.mu.Unlock()
 	p.Register(h)
 }
 
+// stopHost announces the end of a host.
 func (p *Platform) stopHost(w http.ResponseWriter, r *http.Request) {
 	host := identifier.Host(r.PathValue("host"))
 	p.mu.Lock()
@@ -117,16 +119,16 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// find returns a host that is registered or started. The caller holds the
-// lock.
+// find returns a registered host. The caller holds the lock.
 func (p *Platform) find(host identifier.Host) (inventory.Host, bool) {
 	h, ok := p.registered[host]
 	return h, ok
 }
 
-func (p *Platform) wave(w http.ResponseWriter, r *http.Request) {
+// postWave announces the reclaim of the hosts that a wave names.
+func (p *Platform) postWave(w http.ResponseWriter, r *http.Request) {
 	var wave ReclaimWave
-	if !read(w, r, &wave) {
+	if !readJSON(w, r, &wave) {
 		return
 	}
 	p.mu.Lock()
@@ -143,16 +145,16 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// take removes a reclaimed host: its engine, its notice and, after the lag,
-// its place in the list.
-func (p *Platform) take(n *inventory.Notice) {
+// removeHost stops the engine of a reclaimed host, and deletes its notice and its
+// entry in the list after the lag.
+func (p *Platform) removeHost(n *inventory.Notice) {
 	p.mu.Lock()
-	gone := p.rented[n.Host]
-	delete(p.rented, n.Host)
+	started := p.started[n.Host]
+	delete(p.started, n.Host)
 	delete(p.registered, n.Host)
 	p.mu.Unlock()
-	if gone != nil {
-		_ = gone.server.Close()
+	if started != nil {
+		_ = started.server.Close()
 	}
 	place := string(n.AvailabilityZone) + "/" + string(n.Host)
 	time.AfterFunc(p.c.HostLag, func() {
@@ -160,7 +162,7 @@
 		defer p.mu.Unlock()
 		for _, key := range []string{inventory.HostPrefix + place, inventory.NoticePrefix + place} {
 			if _, listed := p.objects[key]; listed {
-				p.store(object.Object{Key: key, Deleted: true})
+				p.apply(object.Object{Key: key, Deleted: true})
 			}
 		}
 	})
@@ -170,5 +172,5 @@
 	p.mu.Lock()
 	c := p.cloudCalls
 	p.mu.Unlock()
-	answer(w, c)
+	writeJSON(w, c)
 }
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,11 +1,10 @@
-// Package platform is a small stand-in for the users' platform.
+// Package platform is a stand-in for the users' platform.
 //
-// # What it imitates
-//
-// The object API with versions, conditional updates and watches; the lagging
-// list of hosts; reclaim notices; and the ways in which it fails: outages,
-// stale reads and short watch memory. It keeps everything in memory and
-// counts its calls, a waiting watch as one.
+// It has the object API with versions, conditional writes and watches, a list of
+// hosts that lags behind, reclaim notices and a cloud API that starts and stops
+// hosts. It injects the faults of the real one: outages, stale reads, lost answers
+// and watches that meet a gap as the history is short. It keeps everything in
+// memory and counts its calls; a watch counts as one call, however long it waits.
 //
 // # Usage
 //
@@ -14,18 +13,20 @@
 //
 // # Paths
 //
-//	GET    /v1/objects/KEY            one object
-//	PUT    /v1/objects/KEY            with If-Match or If-None-Match
-//	DELETE /v1/objects/KEY            with If-Match
-//	GET    /v1/objects?prefix=P       list
+//	GET    /v1/objects/KEY            get an object
+//	PUT    /v1/objects/KEY            write an object; needs If-Match or If-None-Match
+//	DELETE /v1/objects/KEY            delete an object; needs If-Match
+//	GET    /v1/objects?prefix=P       list objects
 //	GET    /v1/watch?prefix=P&after=R&wait=20s
+//	                                  wait for changes after a revision
 //	POST   /admin/hosts               register a host; listed after the lag
-//	POST   /admin/notices             announce a reclaim; at once
-//	POST   /cloud/hosts               start a host, once a token
-//	DELETE /cloud/hosts/HOST          give a host back; it gets a notice
+//	POST   /admin/notices             announce a reclaim; published at once
+//	POST   /cloud/hosts               start a host; idempotent by token
+//	DELETE /cloud/hosts/HOST          stop a host after a notice
 //	POST   /admin/waves               reclaim a zone's hosts
-//	POST   /admin/faults              outage, stale reads, refused starts
-//	GET    /admin/calls               counts of calls
+//	POST   /admin/faults              set faults; see Faults
+//	GET    /admin/calls               counts of calls; see Calls
+//	GET    /admin/cloud               counts of cloud calls; see CloudCalls
 package platform
 
 import (
@@ -45,53 +46,57 @@
 )
 
 const (
-	maxValue   = 1 << 20
+	// maxValue is the size limit of a body in bytes.
+	maxValue = 1 << 20
+	// historyLen is the number of remembered changes above which the older half is dropped.
 	historyLen = 4096
-	maxWait    = time.Minute
+	// maxWait is the longest time that a watch may wait.
+	maxWait = time.Minute
 )
 
-// Config sets how the stand-in behaves.
+// Config sets the delays of the platform.
 type Config struct {
-	// HostLag is the time until a host's change shows in the list.
+	// HostLag is the time until a change of a host appears in the list.
 	HostLag time.Duration
-	// StartTime is how long a rented host takes to come up, StopNotice the
-	// notice of one that is given back.
+	// StartTime is the time that a host takes to start, StopNotice the time from
+	// the notice to the end of a host that is stopped.
 	StartTime  time.Duration
 	StopNotice time.Duration
 }
 
-// Faults are the ways of failing that can be switched on.
+// Faults are the faults that can be injected. The zero value has none.
 type Faults struct {
-	// Outage answers everything with 503.
+	// Outage answers all calls but those of /admin/ with 503.
 	Outage bool
-	// StaleRevision, if not zero, answers lists as of that revision.
+	// StaleRevision, if not zero, is the revision as of which lists are answered.
 	StaleRevision uint64
-	// LoseAnswers is the number of writes that take effect and whose answers
-	// are then lost.
+	// LoseAnswers is the number of further writes that take effect without an
+	// answer.
 	LoseAnswers int
-	// FailAfterLost begins an outage with the first lost answer.
+	// FailAfterLost starts an outage with the first lost answer.
 	FailAfterLost bool
-	// RefuseStarts lists places, as zone/class, or * for all, where the cloud
-	// has nothing to give.
+	// RefuseStarts lists the places, as zone/class or * for all, where the cloud
+	// has no hosts.
 	RefuseStarts []string
-	// LoseStarts is the number of starts whose answers are lost.
+	// LoseStarts is the number of further starts that take effect without an answer.
 	LoseStarts int
-	// Forget drops the memory of changes, so that watches meet a gap.
+	// Forget drops the history, so that watches meet a gap.
 	Forget bool
 }
 
-// Calls counts what was asked of the platform.
+// Calls counts the calls of the object API.
 type Calls struct {
 	Reads   int64
 	Writes  int64
 	Watches int64
-	// Refused counts the calls during outages.
+	// Refused counts the calls refused during outages.
 	Refused int64
-	// Waiting is the number of watches open now.
+	// Waiting is the number of open watches.
 	Waiting int64
 }
 
-// Platform is the stand-in. Use New.
+// Platform stands in for the platform. It is an http.Handler and safe for concurrent
+// use. Use New.
 type Platform struct {
 	c   Config
 	mux http.ServeMux
@@ -100,14 +105,16 @@
 	revision uint64
 	objects  map[string]object.Object
 	history  []object.Object
-	changed  chan struct{}
-	faults   Faults
-	calls    Calls
-
-	tokens     map[string]identifier.Host
-	rented     map[identifier.Host]*rented
-	registered map[identifier.Host]inventory.Host
-	cloudCalls CloudCalls
+	// changed is closed and replaced at each change.
+	changed chan struct{}
+	faults  Faults
+	calls   Calls
+
+	// startTokens holds the host started for each token.
+	startTokens map[string]identifier.Host
+	started     map[identifier.Host]*startedHost
+	registered  map[identifier.Host]inventory.Host
+	cloudCalls  CloudCalls
 }
 
 var _ http.Handler = (*Platform)(nil)
@@ -115,8 +122,8 @@
 // New returns an empty platform.
 func New(c Config) *Platform {
 	p := &Platform{
-		c: c, objects: make(map[string]object.Object), changed: make(chan struct{}), tokens: make(map[string]identifier.Host),
-		rented: make(map[identifier.Host]*rented), registered: make(map[identifier.Host]inventory.Host),
+		c: c, objects: make(map[string]object.Object), changed: make(chan struct{}), startTokens: make(map[string]identifier.Host),
+		started: make(map[identifier.Host]*startedHost), registered: make(map[identifier.Host]inventory.Host),
 	}
 	p.cloudPaths()
 	p.mux.HandleFunc("GET /v1/objects/{key...}", p.get)
@@ -124,22 +131,22 @@
 	p.mux.HandleFunc("DELETE /v1/objects/{key...}", p.remove)
 	p.mux.HandleFunc("GET /v1/objects", p.list)
 	p.mux.HandleFunc("GET /v1/watch", p.watch)
-	p.mux.HandleFunc("POST /admin/hosts", p.hosts)
-	p.mux.HandleFunc("POST /admin/notices", p.notices)
+	p.mux.HandleFunc("POST /admin/hosts", p.postHost)
+	p.mux.HandleFunc("POST /admin/notices", p.postNotice)
 	p.mux.HandleFunc("POST /admin/faults", p.setFaults)
 	p.mux.HandleFunc("GET /admin/calls", p.getCalls)
 	return p
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one call.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	p.mu.Lock()
-	out := p.faults.Outage && !strings.HasPrefix(r.URL.Path, "/admin/")
-	if out {
+	outage := p.faults.Outage && !strings.HasPrefix(r.URL.Path, "/admin/")
+	if outage {
 		p.calls.Refused++
 	}
 	p.mu.Unlock()
-	if out {
+	if outage {
 		http.Error(w, "outage", http.StatusServiceUnavailable)
 		return
 	}
@@ -155,7 +162,7 @@
 		http.Error(w, "no such object", http.StatusNotFound)
 		return
 	}
-	answer(w, o)
+	writeJSON(w, o)
 }
 
 func (p *Platform) put(w http.ResponseWriter, r *http.Request) {
@@ -168,22 +175,22 @@
 	defer p.mu.Unlock()
 	p.calls.Writes++
 	key := r.PathValue("key")
-	if !p.holds(r, key) {
+	if !p.conditionHolds(r, key) {
 		http.Error(w, "version conflict", http.StatusPreconditionFailed)
 		return
 	}
-	o := p.store(object.Object{Key: key, Value: value})
+	o := p.apply(object.Object{Key: key, Value: value})
 	if p.faults.LoseAnswers > 0 {
 		p.faults.LoseAnswers--
 		p.faults.Outage = p.faults.FailAfterLost
-		drop(w)
+		closeUnanswered(w)
 		return
 	}
-	answer(w, o)
+	writeJSON(w, o)
 }
 
-// drop breaks the connection without an answer.
-func drop(w http.ResponseWriter) {
+// closeUnanswered closes the connection without an answer.
+func closeUnanswered(w http.ResponseWriter) {
 	c, _, err := http.NewResponseController(w).Hijack()
 	if err == nil {
 		c.Close()
@@ -195,17 +202,17 @@
 	defer p.mu.Unlock()
 	p.calls.Writes++
 	key := r.PathValue("key")
-	if !p.holds(r, key) {
+	if !p.conditionHolds(r, key) {
 		http.Error(w, "version conflict", http.StatusPreconditionFailed)
 		return
 	}
-	p.store(object.Object{Key: key, Deleted: true})
+	p.apply(object.Object{Key: key, Deleted: true})
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// holds tells whether the call's condition is met; a write without one never
-// is. The caller holds the lock.
-func (p *Platform) holds(r *http.Request, key string) bool {
+// conditionHolds reports whether the condition of a write holds; it does not for a
+// write without one. The caller holds the lock.
+func (p *Platform) conditionHolds(r *http.Request, key string) bool {
 	o, exists := p.objects[key]
 	if r.Header.Get("If-None-Match") == "*" {
 		return !exists
@@ -213,8 +220,8 @@
 	return exists && r.Header.Get("If-Match") == strconv.Quote(strconv.FormatUint(o.Version, 10))
 }
 
-// store applies a write. The caller holds the lock.
-func (p *Platform) store(o object.Object) object.Object {
+// apply applies a write and wakes the watches. The caller holds the lock.
+func (p *Platform) apply(o object.Object) object.Object {
 	p.revision++
 	o.Version = p.revision
 	if o.Deleted {
@@ -247,9 +254,11 @@
 		}
 	}
 	sort.Slice(page.Objects, func(i, j int) bool { return page.Objects[i].Version < page.Objects[j].Version })
-	answer(w, page)
+	writeJSON(w, page)
 }
 
+// asOf returns the objects as of a revision, rebuilt from the history. The caller
+// holds the lock.
 func (p *Platform) asOf(revision uint64) map[string]object.Object {
 	old := make(map[string]object.Object)
 	for i := range p.history {
@@ -287,7 +296,7 @@
 		http.Error(w, "gap", http.StatusGone)
 		return
 	}
-	answer(w, page)
+	writeJSON(w, page)
 }
 
 func (p *Platform) count(f func(*Calls)) {
@@ -296,8 +305,8 @@
 	f(&p.calls)
 }
 
-// await returns the changes after a revision, or an empty page when ctx ends;
-// ok is false when the changes are no longer remembered.
+// await waits for changes after a revision and returns them, or an empty page when
+// ctx ends. It returns false if the history no longer holds the changes.
 func (p *Platform) await(ctx context.Context, after uint64, prefixes []string) (page object.Page, ok bool) {
 	for {
 		p.mu.Lock()
@@ -315,6 +324,8 @@
 	}
 }
 
+// since returns the changes after a revision. It returns false if the history does
+// not hold them. The caller holds the lock.
 func (p *Platform) since(after uint64, prefixes []string) (object.Page, bool) {
 	page := object.Page{Revision: p.revision}
 	if after > p.revision || after < p.revision && (len(p.history) == 0 || p.history[0].Version > after+1) {
@@ -338,7 +349,7 @@
 	return false
 }
 
-// Register lists a host once the lag is over.
+// Register registers a host and lists it after the lag.
 func (p *Platform) Register(h inventory.Host) {
 	value, _ := json.Marshal(h)
 	key := inventory.HostPrefix + string(h.AvailabilityZone) + "/" + string(h.Host)
@@ -348,14 +359,14 @@
 	time.AfterFunc(p.c.HostLag, func() { p.write(key, value) })
 }
 
-// Announce publishes a reclaim notice at once, marks the host as leaving in
-// the list after the lag, and takes it away at the deadline.
+// Announce publishes a reclaim notice at once, marks the host as leaving in the list
+// after the lag, and removes the host at the deadline.
 func (p *Platform) Announce(n inventory.Notice) {
 	value, _ := json.Marshal(n)
 	place := string(n.AvailabilityZone) + "/" + string(n.Host)
 	p.write(inventory.NoticePrefix+place, value)
 	time.AfterFunc(p.c.HostLag, func() { p.markLeaving(inventory.HostPrefix + place) })
-	time.AfterFunc(time.Until(n.Deadline), func() { p.take(&n) })
+	time.AfterFunc(time.Until(n.Deadline), func() { p.removeHost(&n) })
 }
 
 func (p *Platform) markLeaving(key string) {
@@ -374,28 +385,28 @@
 func (p *Platform) write(key string, value json.RawMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.store(object.Object{Key: key, Value: value})
+	p.apply(object.Object{Key: key, Value: value})
 }
 
-func (p *Platform) hosts(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) postHost(w http.ResponseWriter, r *http.Request) {
 	var h inventory.Host
-	if !read(w, r, &h) {
+	if !readJSON(w, r, &h) {
 		return
 	}
 	p.Register(h)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (p *Platform) notices(w http.ResponseWriter, r *http.Request) {
+func (p *Platform) postNotice(w http.ResponseWriter, r *http.Request) {
 	var n inventory.Notice
-	if !read(w, r, &n) {
+	if !readJSON(w, r, &n) {
 		return
 	}
 	p.Announce(n)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// SetFaults switches ways of failing on and off.
+// SetFaults replaces the faults that are injected.
 func (p *Platform) SetFaults(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -410,7 +421,7 @@
 
 func (p *Platform) setFaults(w http.ResponseWriter, r *http.Request) {
 	var f Faults
-	if !read(w, r, &f) {
+	if !readJSON(w, r, &f) {
 		return
 	}
 	p.SetFaults(f)
@@ -421,10 +432,11 @@
 	p.mu.Lock()
 	c := p.calls
 	p.mu.Unlock()
-	answer(w, c)
+	writeJSON(w, c)
 }
 
-func read(w http.ResponseWriter, r *http.Request, v any) bool {
+// readJSON decodes the body of a call. It answers 400 and returns false if it is malformed.
+func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxValue)).Decode(v); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return false
@@ -432,7 +444,7 @@
 	return true
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
