--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,10 +1,9 @@
-// Package plain is a small stand-in for a service that is no model.
+// Package plain is a stand-in for a service that is not a model engine: an ordinary
+// application behind HTTP.
 //
-// # What it imitates
-//
-// An ordinary application behind HTTP: it answers each call with a record of
-// what it was asked, and it counts executions, so that a test can tell a call
-// that ran twice or one that ran though its caller was told "not run".
+// It answers each call with the request that it received, and it counts
+// executions, so that a test can detect a call that ran twice, or that ran although
+// its client was told "not run".
 //
 // # Usage
 //
@@ -12,7 +11,7 @@
 //	http.Serve(listener, s)
 //
 // The paths /admin/executions, /admin/behaviour and /v1/load belong to the
-// stand-in; every other path is the service's.
+// stand-in; all other paths belong to the service.
 package plain
 
 import (
@@ -28,56 +27,60 @@
 
 const maxBody = 4 << 20
 
-// Config names the endpoint.
+// Config describes the endpoint.
 type Config struct {
 	Endpoint    identifier.Endpoint
 	Incarnation identifier.Incarnation
-	// Deduplicates runs each Idempotency-Key at most once.
+	// Deduplicates runs each Idempotency-Key at most once: later calls with the key don.t
+	// count as executions.
 	Deduplicates bool
 }
 
-// Behaviour is what tests switch.
+// Behaviour sets gates and faults for tests. The zero value is a healthy service.
 type Behaviour struct {
-	// Hold keeps calls waiting after they have been executed.
+	// Hold delays the answers of executed calls until it is unset.
 	Hold bool
-	// Refuse answers calls with an explicit refusal.
+	// Refuse answers calls with Not-Run and 503, without an execution.
 	Refuse bool
-	// Fail executes calls and answers with status 500.
+	// Fail executes calls and answers 500.
 	Fail bool
 	// Leaving shows a reclaim notice in the load report.
 	Leaving bool
 }
 
-// Answer is what the service says to each call.
+// Answer is the body of the answer to a call.
 type Answer struct {
 	Method string
 	Path   string
 	Body   string
-	// Execution counts the executions of this call's key or request id.
+	// Execution is the number of executions so far of the call's Idempotency-Key, or
+	// of its Request-Id if it has none.
 	Execution int
 }
 
-// Service is the stand-in. Use New.
+// Service stands in for one service endpoint. It is an http.Handler and safe for
+// concurrent use. Use New.
 type Service struct {
 	c Config
 
-	mu         sync.Mutex
-	changed    *sync.Cond
-	behaviour  Behaviour
-	running    int
+	mu        sync.Mutex
+	changed   *sync.Cond
+	behaviour Behaviour
+	running   int
+	// executions counts the executions by idempotency key or request id.
 	executions map[string]int
 }
 
 var _ http.Handler = (*Service)(nil)
 
-// New returns a service that has run nothing.
+// New returns a service without executions.
 func New(c Config) *Service {
 	s := &Service{c: c, executions: make(map[string]int)}
 	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP serves one call.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.URL.Path {
 	case "/admin/executions":
@@ -112,9 +115,11 @@
 		http.Error(w, "failed after it ran", http.StatusInternalServerError)
 		return
 	}
-	answer(w, Answer{Method: r.Method, Path: r.URL.RequestURI(), Body: string(body), Execution: n})
+	writeJSON(w, Answer{Method: r.Method, Path: r.URL.RequestURI(), Body: string(body), Execution: n})
 }
 
+// execute counts an execution, unless calls are refused, and returns the number of
+// executions of the key and the present behaviour.
 func (s *Service) execute(key string) (int, Behaviour) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,6 +133,7 @@
 	return s.executions[key], s.behaviour
 }
 
+// wait waits while answers are held.
 func (s *Service) wait() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,7 +146,7 @@
 func (s *Service) load(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer(w, report.Report{
+	writeJSON(w, report.Report{
 		Endpoint: s.c.Endpoint, Taken: time.Now(), Running: s.running,
 		Leaving: s.behaviour.Leaving, Incarnation: s.c.Incarnation,
 	})
@@ -149,7 +155,7 @@
 func (s *Service) listExecutions(w http.ResponseWriter) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer(w, s.executions)
+	writeJSON(w, s.executions)
 }
 
 func (s *Service) setBehaviour(w http.ResponseWriter, r *http.Request) {
@@ -165,7 +171,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func answer(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/internal/standin/starter/starter.go
+++ b/internal/standin/starter/starter.go
@@ -1,4 +1,8 @@
-// Package starter runs a stand-in as a process of its own.
+// Package starter runs a stand-in as a process of its own: the platform, an engine or
+// a plain service.
+//
+// An engine or a plain service registers its host with the platform, which lists it
+// after its lag.
 //
 // # Usage
 //
@@ -7,9 +11,6 @@
 //	    --host engine-host-1 --zone hal-utrecht --pool models --model demo-1
 //	standin plain --listen 127.0.0.1:9201 --platform 127.0.0.1:9000 \
 //	    --host app-host-1 --zone hal-utrecht --pool planning
-//
-// An engine or plain service registers its host with the platform, which
-// lists it after its lag.
 package starter
 
 import (
@@ -35,37 +36,38 @@
 )
 
 const (
-	headerTimeout = 5 * time.Second
-	registerTries = 50
-	registerPause = 100 * time.Millisecond
+	headerTimeout    = 5 * time.Second
+	registerAttempts = 50
+	registerBackoff  = 100 * time.Millisecond
 )
 
-// Config names where errors go.
+// Config is the configuration of a starter.
 type Config struct {
+	// Errors receives error messages.
 	Errors io.Writer
 }
 
-// Starter parses the command line and serves.
+// Starter parses the command line and runs one stand-in.
 type Starter struct {
-	c       Config
-	listen  string
-	public  string
-	lag     time.Duration
-	where   string
-	host    inventory.Host
-	class   string
-	zone    string
-	name    string
-	pool    string
-	model   string
-	prefill int
-	decode  int
-	slots   int
-	ignores bool
-	dedupes bool
-	linger  time.Duration
-	start   time.Duration
-	notice  time.Duration
+	c                Config
+	listen           string
+	advertised       string
+	hostLag          time.Duration
+	platformAddress  string
+	host             inventory.Host
+	class            string
+	zone             string
+	name             string
+	pool             string
+	model            string
+	prefillPerSecond int
+	decodePerSecond  int
+	slots            int
+	ignoresFencing   bool
+	deduplicates     bool
+	linger           time.Duration
+	startTime        time.Duration
+	stopNotice       time.Duration
 }
 
 // New returns a starter.
@@ -73,7 +75,8 @@
 	return &Starter{c: c, class: string(document.ClassReclaimable), slots: 8}
 }
 
-// Run serves until SIGINT or SIGTERM and returns the exit code.
+// Run runs the stand-in that the arguments name until SIGINT or SIGTERM. It returns the
+// exit code: 1 for an error, 2 if the arguments name no stand-in.
 func (s *Starter) Run(args []string) int {
 	p := flaggy.NewParser("standin")
 	p.Description = "stand-ins for the platform, engines and plain services"
@@ -84,18 +87,18 @@
 		p.AttachSubcommand(sub, 1)
 		roles[role] = sub
 	}
-	roles["platform"].Duration(&s.lag, "", "lag", "time until a host's change shows in the list")
-	roles["platform"].Duration(&s.start, "", "start-time", "time until a rented host is up")
-	roles["platform"].Duration(&s.notice, "", "stop-notice", "notice of a host that is given back")
+	roles["platform"].Duration(&s.hostLag, "", "lag", "time until a change of a host appears in the list")
+	roles["platform"].Duration(&s.startTime, "", "start-time", "time that a new host takes to start")
+	roles["platform"].Duration(&s.stopNotice, "", "stop-notice", "time from the notice to the end of a host that is stopped")
 	s.endpointFlags(roles["engine"])
 	s.endpointFlags(roles["plain"])
 	roles["engine"].String(&s.model, "m", "model", "model that is loaded")
-	roles["engine"].Int(&s.prefill, "", "prefill", "tokens read in a second, 0 for at once")
-	roles["engine"].Int(&s.decode, "", "decode", "tokens written in a second, 0 for at once")
+	roles["engine"].Int(&s.prefillPerSecond, "", "prefill", "prefill speed in tokens per second, 0 for no delay")
+	roles["engine"].Int(&s.decodePerSecond, "", "decode", "decode speed in tokens per second, 0 for no delay")
 	roles["engine"].Int(&s.slots, "", "slots", "streams that run at once")
-	roles["engine"].Duration(&s.linger, "", "linger", "how long a stream without reader lives on")
-	roles["engine"].Bool(&s.ignores, "", "ignores-fencing", "take orders with an old fencing number")
-	roles["plain"].Bool(&s.dedupes, "", "deduplicates", "run each key at most once")
+	roles["engine"].Duration(&s.linger, "", "linger", "time for which a stream without a reader is kept")
+	roles["engine"].Bool(&s.ignoresFencing, "", "ignores-fencing", "accept orders with an old fencing number")
+	roles["plain"].Bool(&s.deduplicates, "", "deduplicates", "run each idempotency key at most once")
 	if err := p.ParseArgs(args); err != nil {
 		return s.fail(err)
 	}
@@ -108,13 +111,14 @@
 	return 2
 }
 
+// endpointFlags adds the flags that an engine and a plain service share.
 func (s *Starter) endpointFlags(sub *flaggy.Subcommand) {
-	sub.String(&s.public, "", "advertise", "address under which it is listed; the listening one if left out")
-	sub.String(&s.where, "p", "platform", "address of the platform, IP:port")
+	sub.String(&s.advertised, "", "advertise", "address in the list of hosts; the listening address if left out")
+	sub.String(&s.platformAddress, "p", "platform", "address of the platform, IP:port")
 	sub.String((*string)(&s.host.Host), "", "host", "name of the host")
 	sub.String(&s.zone, "z", "zone", "availability zone")
 	sub.String(&s.class, "", "class", "reclaimable or on-demand")
-	sub.String(&s.name, "n", "name", "name of the endpoint; the host's if left out")
+	sub.String(&s.name, "n", "name", "name of the endpoint; the name of the host if left out")
 	sub.String(&s.pool, "", "pool", "pool of the endpoint")
 }
 
@@ -146,47 +150,49 @@
 	if s.name == "" {
 		s.name = string(s.host.Host)
 	}
-	if s.public == "" {
-		s.public = s.listen
+	if s.advertised == "" {
+		s.advertised = s.listen
 	}
 	s.host.AvailabilityZone = identifier.AvailabilityZone(s.zone)
 	s.host.Class = document.Class(s.class)
 	s.host.State = inventory.StateLive
 	s.host.Incarnation = identifier.Incarnation(time.Now().UnixMilli())
 	s.host.Endpoints = []inventory.Endpoint{{
-		Endpoint: identifier.Endpoint(s.name), Pool: identifier.Pool(s.pool), Address: s.public,
+		Endpoint: identifier.Endpoint(s.name), Pool: identifier.Pool(s.pool), Address: s.advertised,
 	}}
 	switch role {
 	case "engine":
 		return engine.New(engine.Config{
 			Endpoint: identifier.Endpoint(s.name), Incarnation: s.host.Incarnation, Model: s.model, Slots: s.slots,
-			PrefillPerSecond: s.prefill, DecodePerSecond: s.decode, IgnoresFencing: s.ignores, Linger: s.linger,
+			PrefillPerSecond: s.prefillPerSecond, DecodePerSecond: s.decodePerSecond, IgnoresFencing: s.ignoresFencing, Linger: s.linger,
 		})
 	case "plain":
 		return plain.New(plain.Config{
-			Endpoint: identifier.Endpoint(s.name), Incarnation: s.host.Incarnation, Deduplicates: s.dedupes,
+			Endpoint: identifier.Endpoint(s.name), Incarnation: s.host.Incarnation, Deduplicates: s.deduplicates,
 		})
 	}
-	return platform.New(platform.Config{HostLag: s.lag, StartTime: s.start, StopNotice: s.notice})
+	return platform.New(platform.Config{HostLag: s.hostLag, StartTime: s.startTime, StopNotice: s.stopNotice})
 }
 
-// register lists the host; the platform may start later than its hosts.
+// register registers the host with the platform. It retries, as the platform may start
+// later than its hosts.
 func (s *Starter) register(ctx context.Context) error {
 	body, err := json.Marshal(s.host)
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
-	for range registerTries {
+	for range registerAttempts {
 		if err = s.post(ctx, body); err == nil || ctx.Err() != nil {
 			return nil
 		}
-		time.Sleep(registerPause)
+		time.Sleep(registerBackoff)
 	}
 	return err
 }
 
+// post sends one registration.
 func (s *Starter) post(ctx context.Context, body []byte) error {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.where+"/admin/hosts", bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.platformAddress+"/admin/hosts", bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("register: %w", err)
 	}
--- a/internal/standin/textgenerator/textgenerator.go
+++ b/internal/standin/textgenerator/textgenerator.go
@@ -1,11 +1,11 @@
-// Package textmaker makes the text that stand-in engines generate.
+// Package textgenerator generates the text of stand-in engines.
 //
-// # Usage
+// The text depends only on the prompt and the position, so a test knows each byte
+// that a client must receive, whichever engines generated it.
 //
-// Text depends only on the prompt and the position, so a test knows each byte
-// that a caller must receive, whichever engines took part:
+// # Usage
 //
-//	want := textmaker.New(prompt).Text(0, 16)
+//	want := textgenerator.New(prompt).Text(0, 16)
 package textgenerator
 
 import (
@@ -15,28 +15,28 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Generator makes the tokens of one answer.
+// Generator generates the tokens of one answer.
 type Generator struct {
 	seed uint64
 }
 
-// New returns the maker for a prompt.
+// New returns the generator for a prompt.
 func New(prompt string) Generator { return Generator{xxhash.Sum64String(prompt)} }
 
 var words = [...]string{"bond", "shift", "letter", "roster", "member", "dock", "rate", "dawn"}
 
-// Token returns the token at a position, counted from 0. Each token bears its
-// position, so that a lost or repeated one can be seen.
-func (m Generator) Token(i int) string {
-	word := words[(m.seed>>(uint(i)%56))%uint64(len(words))]
+// Token returns the token at position i, counted from 0. Each token contains its
+// position, so that a lost or repeated token can be detected.
+func (g Generator) Token(i int) string {
+	word := words[(g.seed>>(uint(i)%56))%uint64(len(words))]
 	return word + strconv.Itoa(i) + " "
 }
 
-// Text returns the tokens from a position up to another.
-func (m Generator) Text(from, to int) string {
+// Text returns the tokens from position from up to, but not including, to.
+func (g Generator) Text(from, to int) string {
 	var b strings.Builder
 	for i := from; i < to; i++ {
-		b.WriteString(m.Token(i))
+		b.WriteString(g.Token(i))
 	}
 	return b.String()
 }
