--- a/internal/measure/experiment/fairness_test.go
+++ b/internal/measure/experiment/fairness_test.go
@@ -73,7 +73,7 @@
 	requests.Wait()
 }
 
-func TestFairnessAgainstLoudOrganisation(t *testing.T) {
+func TestFairnessAgainstNoisyOrganisation(t *testing.T) {
 	// Guards against an organisation that slows down the others: one sends ten
 	// times as much as the others for two minutes. The 95th percentile of the
 	// others may rise by a tenth at most, and the excess of the noisy one is
--- a/internal/standin/batcher/batcher_test.go
+++ b/internal/standin/batcher/batcher_test.go
@@ -44,6 +44,7 @@
 
 func prompt(id string, tokens int) []PromptPart { return []PromptPart{{id, identifier.Tokens(tokens)}} }
 
+// Guards against wrong times of prefill and decode of a single request.
 func TestOneRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(testConfig())
@@ -83,6 +84,8 @@
 	})
 }
 
+// Guards against a long prompt that is prefilled in one step, or at no cost to the others: each
+// of its chunks must delay their tokens, and only by a chunk.
 func TestLongPromptSlowsTheOthersDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(testConfig())
@@ -99,6 +102,8 @@
 	})
 }
 
+// Guards against admission out of order: by priority, and by arrival among equals. Request 0
+// arrives first and takes the only slot.
 func TestHighPriorityRequestsRunFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := testConfig()
@@ -123,6 +128,8 @@
 	})
 }
 
+// Guards against a request that is accepted although it can never fit into the memory, or although
+// slots and waiting places are taken.
 func TestFullEngineRefusesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New(Config{Slots: 1, MaxWaiting: 1, MemoryTokens: 2000, PrefillTokensPerSecond: 1000, StepTime: time.Millisecond})
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -31,7 +31,7 @@
 type Config struct {
 	Endpoint    identifier.Endpoint
 	Incarnation identifier.Incarnation
-	// Deduplicates runs each Idempotency-Key at most once: later calls with the key don.t
+	// Deduplicates runs each Idempotency-Key at most once: later calls with the key don't
 	// count as executions.
 	Deduplicates bool
 }
