--- a/integration/capacity_test.go
+++ b/integration/capacity_test.go
@@ -22,24 +22,26 @@
 	"brasschute/internal/standin/platform"
 )
 
-// observation is how long the benchmarks of control traffic look.
-const observation = 10 * time.Second
+// observationTime is how long the benchmarks measure idle daemons.
+const observationTime = 10 * time.Second
 
-// usage is what a daemon has used since it started.
-type usage struct {
-	cpu    time.Duration
-	bytes  float64
-	memory float64
+// resourceUsage holds the resources that a daemon has used since its start.
+type resourceUsage struct {
+	cpu time.Duration
+	// peerBytes is the traffic with other daemons in both directions.
+	peerBytes float64
+	// memoryMB is the resident memory in MiB.
+	memoryMB float64
 }
 
 const (
-	ticksPerSecond = 100
+	ticksPerSecond = 100 // USER_HZ, the unit of /proc/PID/stat
 	megabyte       = 1 << 20
 )
 
-// used reads a daemon's processor time and memory from the kernel, and its
-// peer traffic from its metrics.
-func (d *daemon) used() usage {
+// resourceUsage reads the processor time and memory of the daemon from the kernel, and its peer
+// traffic from its metrics.
+func (d *daemon) resourceUsage() resourceUsage {
 	d.f.t.Helper()
 	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", d.cmd.Process.Pid))
 	if err != nil {
@@ -52,14 +54,14 @@
 		n, _ := strconv.Atoi(fields[i])
 		ticks += n
 	}
-	return usage{
-		cpu:   time.Duration(ticks) * time.Second / ticksPerSecond,
-		bytes: d.metric("brasschute_peer_bytes_in") + d.metric("brasschute_peer_bytes_out"), memory: d.memory(),
+	return resourceUsage{
+		cpu:       time.Duration(ticks) * time.Second / ticksPerSecond,
+		peerBytes: d.metricSum("brasschute_peer_bytes_in") + d.metricSum("brasschute_peer_bytes_out"), memoryMB: d.residentMB(),
 	}
 }
 
-// memory returns the resident memory in megabytes.
-func (d *daemon) memory() float64 {
+// residentMB returns the resident memory of the daemon in MiB.
+func (d *daemon) residentMB() float64 {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
 	if err != nil {
 		d.f.t.Fatal(err)
@@ -73,9 +75,10 @@
 	return 0
 }
 
-func (d *daemon) metric(name string) float64 {
+// metricSum returns the sum of all series of a metric.
+func (d *daemon) metricSum(name string) float64 {
 	d.f.t.Helper()
-	resp, err := d.f.client.Get("http://" + d.operators + "/metrics")
+	resp, err := d.f.client.Get("http://" + d.operatorAddress + "/metrics")
 	if err != nil {
 		d.f.t.Fatal(err)
 	}
@@ -92,27 +95,27 @@
 	return sum
 }
 
-// observe reports what the daemons use on average while f runs, or while
-// nothing happens.
-func (f *fleet) observe(b *testing.B, daemons []*daemon, during func()) {
+// reportUsage reports the mean processor time and peer traffic of the daemons, and the largest
+// resident memory, while during runs, or for observationTime if it is nil.
+func (f *fleet) reportUsage(b *testing.B, daemons []*daemon, during func()) {
 	b.Helper()
-	before := make([]usage, len(daemons))
+	before := make([]resourceUsage, len(daemons))
 	for i, d := range daemons {
-		before[i] = d.used()
+		before[i] = d.resourceUsage()
 	}
 	begun := time.Now()
 	if during == nil {
-		time.Sleep(observation)
+		time.Sleep(observationTime)
 	} else {
 		during()
 	}
 	seconds := time.Since(begun).Seconds()
 	var cpu, bytes, memory float64
 	for i, d := range daemons {
-		after := d.used()
+		after := d.resourceUsage()
 		cpu += (after.cpu - before[i].cpu).Seconds()
-		bytes += after.bytes - before[i].bytes
-		memory = max(memory, after.memory)
+		bytes += after.peerBytes - before[i].peerBytes
+		memory = max(memory, after.memoryMB)
 	}
 	n := float64(len(daemons))
 	b.ReportMetric(100*cpu/seconds/n, "%core/daemon")
@@ -121,8 +124,9 @@
 	b.ReportMetric(0, "ns/op")
 }
 
+// BenchmarkCapacityPeers measures what membership costs idle daemons of one zone, by the size of
+// the zone.
 func BenchmarkCapacityPeers(b *testing.B) {
-	// Idle daemons of one zone: what membership costs each as the zone grows.
 	for _, n := range []int{2, 8, 16, 32, 64} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := newFleet(b)
@@ -130,20 +134,20 @@
 				f.addEntry(1)
 			}
 			f.entries[0].mustApply(configuration(), 0)
-			f.ready()
-			f.settle()
+			f.awaitReady()
+			f.awaitGossipSettled()
 			for b.Loop() {
-				f.observe(b, f.entries, nil)
+				f.reportUsage(b, f.entries, nil)
 			}
 		})
 	}
 }
 
-// settle waits until the news of the start has been passed on.
-func (f *fleet) settle() { time.Sleep(15 * time.Second) }
+// awaitGossipSettled sleeps long enough for the updates of the start to spread.
+func (f *fleet) awaitGossipSettled() { time.Sleep(15 * time.Second) }
 
-// list registers endpoints that only answer load reports.
-func (f *fleet) list(zone, n int) {
+// listEndpoints registers n endpoints that answer only requests for load reports.
+func (f *fleet) listEndpoints(zone, n int) {
 	f.t.Helper()
 	for i := range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -156,7 +160,7 @@
 		})}
 		go func() { _ = s.Serve(l) }()
 		f.t.Cleanup(func() { s.Close() })
-		f.post("http://"+f.admin+"/admin/hosts", inventory.Host{
+		f.postJSON("http://"+f.platformAddress+"/admin/hosts", inventory.Host{
 			Host: identifier.Host(name), AvailabilityZone: identifier.AvailabilityZone(zoneName(zone)),
 			Class: document.ClassReclaimable, Incarnation: 1, State: inventory.StateLive,
 			Endpoints: []inventory.Endpoint{{Endpoint: identifier.Endpoint(name), Pool: "engines", Address: l.Addr().String()}},
@@ -164,17 +168,17 @@
 	}
 }
 
+// BenchmarkCapacityEndpoints measures what endpoints cost idle daemons. Those of other zones are
+// only listed; each of the own zone is polled by one daemon, which gossips its load.
 func BenchmarkCapacityEndpoints(b *testing.B) {
-	// Endpoints of other zones are only listed; those of the own zone are
-	// polled by one daemon each and their loads passed on.
 	for _, c := range []struct{ listed, polled int }{{0, 0}, {600, 0}, {1200, 0}, {0, 16}, {0, 64}, {0, 128}} {
 		b.Run(fmt.Sprintf("listed=%d/polled=%d", c.listed, c.polled), func(b *testing.B) {
 			f := newFleet(b)
 			for range 4 {
 				f.addEntry(1)
 			}
-			f.list(2, c.listed)
-			f.list(1, c.polled)
+			f.listEndpoints(2, c.listed)
+			f.listEndpoints(1, c.polled)
 			f.entries[0].mustApply(configuration(), 0)
 			for _, d := range f.entries {
 				eventually(b, "listed", func() error {
@@ -182,21 +186,21 @@
 					if err != nil {
 						return err
 					}
-					return want("endpoints", len(s.Endpoints), c.listed+c.polled)
+					return checkEqual("endpoints", len(s.Endpoints), c.listed+c.polled)
 				})
 			}
-			f.settle()
+			f.awaitGossipSettled()
 			for b.Loop() {
-				f.observe(b, f.entries, nil)
+				f.reportUsage(b, f.entries, nil)
 			}
 		})
 	}
 }
 
+// BenchmarkCapacityConfigurationChanges applies a hundred changes one after the other, with one
+// daemon cut off from the platform. It measures the cost of a change to the daemons and the
+// platform, and the time until all daemons have it in force.
 func BenchmarkCapacityConfigurationChanges(b *testing.B) {
-	// A hundred changes one after another: what each costs a daemon and the
-	// platform, and how long until all daemons have it in force, one of them
-	// cut off from the platform.
 	const changes = 100
 	f := newFleet(b)
 	for range 8 {
@@ -204,16 +208,16 @@
 	}
 	f.addEntry(2)
 	f.entries[0].mustApply(configuration(), 0)
-	f.ready()
-	f.proxy.Set(zoneNet(2), injector.Fault{Cut: true})
-	f.settle()
+	f.awaitReady()
+	f.platformProxy.Set(zoneNet(2), injector.Fault{Cut: true})
+	f.awaitGossipSettled()
 	number := uint64(1)
 	for b.Loop() {
 		var before, after platform.Calls
-		_ = f.get("http://"+f.admin+"/admin/calls", &before)
+		_ = f.getJSON("http://"+f.platformAddress+"/admin/calls", &before)
 		worst := time.Duration(0)
-		spent := f.cpu(0)
-		f.observe(b, f.entries, func() {
+		cpuBefore := f.meanCPUSeconds(0)
+		f.reportUsage(b, f.entries, func() {
 			for range changes {
 				begun := time.Now()
 				a := f.entries[0].mustApply(configuration(ruleNamed(fmt.Sprint("r", number))), number)
@@ -224,47 +228,47 @@
 				number++
 			}
 		})
-		_ = f.get("http://"+f.admin+"/admin/calls", &after)
+		_ = f.getJSON("http://"+f.platformAddress+"/admin/calls", &after)
 		b.ReportMetric(worst.Seconds(), "s-in-force-worst")
-		b.ReportMetric(f.cpu(spent)*1000/changes, "cpu-ms/change/daemon")
+		b.ReportMetric(f.meanCPUSeconds(cpuBefore)*1000/changes, "cpu-ms/change/daemon")
 		b.ReportMetric(float64(after.Reads-before.Reads)/changes, "reads/change")
 		b.ReportMetric(float64(after.Writes-before.Writes)/changes, "writes/change")
 		b.ReportMetric(float64(after.Watches-before.Watches)/changes/float64(len(f.entries)), "watches/change/daemon")
 	}
 }
 
-// cpu returns the mean seconds of processor time of the daemons, less a part.
-func (f *fleet) cpu(less float64) float64 {
+// meanCPUSeconds returns the mean processor time of the entry daemons in seconds, minus less.
+func (f *fleet) meanCPUSeconds(less float64) float64 {
 	sum := 0.0
 	for _, d := range f.entries {
-		sum += d.used().cpu.Seconds()
+		sum += d.resourceUsage().cpu.Seconds()
 	}
 	return sum/float64(len(f.entries)) - less
 }
 
+// BenchmarkCapacityStreams measures the memory of a stream that waits in the middle.
 func BenchmarkCapacityStreams(b *testing.B) {
-	// Streams that wait in the middle: the memory of each.
 	for _, n := range []int{0, 200, 400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			f := newFleet(b)
 			f.addEngine(1, "--slots", "1000")
 			d := f.addEntry(1)
 			d.mustApply(strings.ReplaceAll(configuration(), "MaxInFlight: 50", "MaxInFlight: 1000"), 0)
-			f.ready()
-			f.gateAll(gateAt)
+			f.awaitReady()
+			f.setAllGates(gateTokens)
 			for b.Loop() {
-				before := d.memory()
+				before := d.residentMB()
 				var streams []*stream
 				for range n {
 					streams = append(streams, d.open(letterTokens))
 				}
 				for _, s := range streams {
-					middle2(b, s)
+					awaitGateInBenchmark(b, s)
 				}
-				b.ReportMetric(d.memory(), "MB")
-				b.ReportMetric((d.memory()-before)*1024/float64(max(n, 1)), "KB/stream")
+				b.ReportMetric(d.residentMB(), "MB")
+				b.ReportMetric((d.residentMB()-before)*1024/float64(max(n, 1)), "KB/stream")
 				b.ReportMetric(0, "ns/op")
-				f.gateAll(0)
+				f.setAllGates(0)
 				for _, s := range streams {
 					s.wait()
 				}
@@ -273,29 +277,30 @@
 	}
 }
 
-func middle2(b *testing.B, s *stream) {
+// awaitGateInBenchmark is awaitGate for benchmarks.
+func awaitGateInBenchmark(b *testing.B, s *stream) {
 	b.Helper()
-	eventually(b, "mid-stream", func() error { return s.received(gateAt) })
+	eventually(b, "mid-stream", func() error { return s.checkReceived(gateTokens) })
 }
 
+// BenchmarkCapacityRequests measures the processor time of a request at the entry daemon for
+// several answer lengths, and its latency relative to a direct call of the engine.
 func BenchmarkCapacityRequests(b *testing.B) {
-	// The processor time of a request and of a token at the entry daemon, and
-	// its latency against a direct call of the engine.
 	for _, tokens := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("tokens=%d", tokens), func(b *testing.B) {
 			f := newFleet(b)
 			f.addEngine(1, "--slots", "64")
 			d := f.addEntry(1)
 			d.mustApply(configuration(), 0)
-			f.ready()
+			f.awaitReady()
 			const requests = 2000
 			for b.Loop() {
-				before := d.used()
+				before := d.resourceUsage()
 				begun := time.Now()
-				through := f.batch(requests, "http://"+d.callers+"/v1/chat/completions", chat(tokens, true))
+				through := f.sendBatch(requests, "http://"+d.callerAddress+"/v1/chat/completions", chat(tokens, true))
 				seconds := time.Since(begun).Seconds()
-				cpu := d.used().cpu - before.cpu
-				direct := f.batch(requests, "http://"+f.engines[0].address+"/v1/chat/completions",
+				cpu := d.resourceUsage().cpu - before.cpu
+				direct := f.sendBatch(requests, "http://"+f.engines[0].address+"/v1/chat/completions",
 					strings.ReplaceAll(chat(tokens, true), `"letters"`, `"letters-1"`))
 				b.ReportMetric(float64(cpu.Microseconds())/requests, "cpu-us/request")
 				b.ReportMetric(requests/seconds, "requests/s")
@@ -307,8 +312,8 @@
 	}
 }
 
-// batch sends requests by eight workers and returns the mean latency.
-func (f *fleet) batch(requests int, url, body string) time.Duration {
+// sendBatch sends requests from eight workers and returns the mean latency.
+func (f *fleet) sendBatch(requests int, url, body string) time.Duration {
 	const workers = 8
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workers}}
 	var total atomic.Int64
@@ -334,20 +339,21 @@
 	return time.Duration(total.Load() / int64(requests))
 }
 
+// BenchmarkCapacityClaims measures how many claims share one write to the platform, by the number
+// of concurrent callers. The proxy delays the platform by 2.5 ms in each direction, 5 ms for a
+// call.
 func BenchmarkCapacityClaims(b *testing.B) {
-	// Keyed requests at a growing number of callers at once: claims for each
-	// platform write, with a platform that takes five milliseconds.
 	for _, callers := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
 			f := newFleet(b)
-			f.addPlain(1)
+			f.addPlainService(1)
 			d := f.addEntry(1)
 			d.mustApply(strings.ReplaceAll(configuration(), "MaxInFlight: 50", "MaxInFlight: 1000"), 0)
-			f.ready()
-			f.proxy.Set(injector.All, injector.Fault{Delay: 2500 * time.Microsecond})
+			f.awaitReady()
+			f.platformProxy.Set(injector.All, injector.Fault{Delay: 2500 * time.Microsecond})
 			for b.Loop() {
 				var before, after platform.Calls
-				_ = f.get("http://"+f.admin+"/admin/calls", &before)
+				_ = f.getJSON("http://"+f.platformAddress+"/admin/calls", &before)
 				const requests = 1024
 				var group sync.WaitGroup
 				begun := time.Now()
@@ -360,7 +366,7 @@
 				}
 				group.Wait()
 				seconds := time.Since(begun).Seconds()
-				_ = f.get("http://"+f.admin+"/admin/calls", &after)
+				_ = f.getJSON("http://"+f.platformAddress+"/admin/calls", &after)
 				b.ReportMetric(requests/float64(after.Writes-before.Writes), "claims/write")
 				b.ReportMetric(float64(after.Reads-before.Reads)/requests, "reads/claim")
 				b.ReportMetric(requests/seconds, "claims/s")
--- a/integration/configuration_test.go
+++ b/integration/configuration_test.go
@@ -20,117 +20,122 @@
 	"github.com/twitchtv/twirp"
 )
 
-// three starts daemons in three zones.
-func three(t *testing.T) *fleet {
+// newThreeZoneFleet starts a plain service and one entry daemon in each of three zones, with a
+// configuration in force.
+func newThreeZoneFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := newFleet(t)
-	f.addPlain(1)
+	f.addPlainService(1)
 	for zone := 1; zone <= 3; zone++ {
 		f.addEntry(zone)
 	}
 	f.entries[0].mustApply(configuration(), 0)
-	f.ready()
+	f.awaitReady()
 	return f
 }
 
+// ruleNamed returns a rule with the given name that matches requests for the service "letters".
 func ruleNamed(name string) string {
 	return fmt.Sprintf(`{Name: %s, When: 'Service == "letters"', Then: {Priority: urgent}}`, name)
 }
 
-// inForce waits until a daemon has a number in force.
-func (d *daemon) inForce(n uint64) {
+// awaitConfiguration waits until the daemon has configuration number n in force.
+func (d *daemon) awaitConfiguration(n uint64) {
 	d.f.t.Helper()
 	eventually(d.f.t, d.host, func() error {
 		s, err := d.status()
 		if err != nil {
 			return err
 		}
-		return want("configuration", s.ConfigurationNumber, n)
+		return checkEqual("configuration", s.ConfigurationNumber, n)
 	})
 }
 
+// TestConfigurationReachesAllDaemons applies a rule while one daemon is cut off from the platform
+// and can get it only from a peer. The command must not end before every reachable daemon has the
+// rule in force, and it must name these daemons.
 func TestConfigurationReachesAllDaemons(t *testing.T) {
-	// An operator applies a rule. The command must not end before every
-	// daemon that can be reached has it in force, and must name them, also
-	// the one that is cut off from the platform and gets it from a peer.
-	f := three(t)
-	f.proxy.Set(zoneNet(3), injector.Fault{Cut: true})
+	f := newThreeZoneFleet(t)
+	f.platformProxy.Set(zoneNet(3), injector.Fault{Cut: true})
 	a := f.entries[0].mustApply(configuration(ruleNamed("x")), 1)
 	if got := len(a.InForce); got != 3 || len(a.Behind)+len(a.Unreachable) != 0 {
 		t.Fatalf("%v", a)
 	}
 }
 
+// TestConfigurationNamesWhoCannotBeReached applies a rule while one daemon is cut off from the
+// platform and its peers. The command must succeed and name that daemon, which must have the rule
+// in force once the partition heals.
 func TestConfigurationNamesWhoCannotBeReached(t *testing.T) {
-	// One daemon is cut off from the platform and from its peers. The apply
-	// succeeds and names it; once the cut heals the daemon has the rule too.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	f.isolate(3, true)
 	a := f.entries[0].mustApply(configuration(ruleNamed("x")), 1)
 	if !slices.Contains(a.Unreachable, "entry-3") || len(a.InForce) != 2 {
 		t.Fatalf("%v", a)
 	}
 	f.isolate(3, false)
-	f.entries[2].inForce(2)
+	f.entries[2].awaitConfiguration(2)
 }
 
-// isolate cuts a zone off from the platform and from the daemons of other
-// zones, both ways, or heals it.
+// isolate cuts the daemons of a zone off from the platform and, in both directions, from the
+// daemons of other zones, or removes these cuts.
 func (f *fleet) isolate(zone int, cut bool) {
-	f.proxy.Set(zoneNet(zone), injector.Fault{Cut: cut})
-	f.part(zone, cut)
+	f.platformProxy.Set(zoneNet(zone), injector.Fault{Cut: cut})
+	f.partition(zone, cut)
 }
 
-// part cuts a zone's daemons off from those of other zones, or heals it.
-func (f *fleet) part(zone int, cut bool) {
+// partition cuts the daemons of a zone off from the daemons of other zones in both directions, or
+// removes these cuts.
+func (f *fleet) partition(zone int, cut bool) {
 	for _, d := range f.entries {
 		if d.zone != zone {
-			d.peers.Set(zoneNet(zone), injector.Fault{Cut: cut})
+			d.peerProxy.Set(zoneNet(zone), injector.Fault{Cut: cut})
 			continue
 		}
 		for other := 1; other <= 3; other++ {
 			if other != zone {
-				d.peers.Set(zoneNet(other), injector.Fault{Cut: cut})
+				d.peerProxy.Set(zoneNet(other), injector.Fault{Cut: cut})
 			}
 		}
 	}
 }
 
+// TestConfigurationForDaemonStartedInOutage starts a daemon while the platform is down, as when a
+// host is replaced. It knows only a peer from its settings, and must get the configuration in
+// force from it.
 func TestConfigurationForDaemonStartedInOutage(t *testing.T) {
-	// The platform is down and a host is replaced. The new daemon knows only
-	// a peer from its settings; it must serve by the configuration in force.
-	f := three(t)
-	f.faults(platform.Faults{Outage: true})
-	d := f.addEntry(1, fmt.Sprintf("Seeds: [%q]", f.entries[0].peers.Address()))
-	d.inForce(1)
-	// It has no host list yet, so it refuses as not run and does not crash.
+	f := newThreeZoneFleet(t)
+	f.setFaults(platform.Faults{Outage: true})
+	d := f.addEntry(1, fmt.Sprintf("Seeds: [%q]", f.entries[0].peerProxy.Address()))
+	d.awaitConfiguration(1)
+	// Without a list of hosts it must refuse requests as not run, and not crash.
 	if r := d.do(http.MethodGet, "/services/ledger/x", ""); r.outcome() != "not-run" {
 		t.Fatalf("%d %s", r.status, r.body)
 	}
-	f.faults(platform.Faults{})
+	f.setFaults(platform.Faults{})
 	eventually(t, "served", func() error {
-		return want("status", d.do(http.MethodGet, "/services/ledger/x", "").status, http.StatusOK)
+		return checkEqual("status", d.do(http.MethodGet, "/services/ledger/x", "").status, http.StatusOK)
 	})
 }
 
+// TestConfigurationNeverRevertsOnStaleReads lets the platform lose its history of changes after
+// an apply, and answer lists from a stale copy. The daemons list again and must keep the newer
+// configuration.
 func TestConfigurationNeverRevertsOnStaleReads(t *testing.T) {
-	// After an apply, the platform loses its memory of changes and then
-	// answers lists from a copy that is behind. The daemons list again and
-	// must keep the newer configuration.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	var before struct{ Revision uint64 }
-	if err := f.get("http://"+f.admin+"/v1/objects?prefix=none/", &before); err != nil {
+	if err := f.getJSON("http://"+f.platformAddress+"/v1/objects?prefix=none/", &before); err != nil {
 		t.Fatal(err)
 	}
 	f.entries[0].mustApply(configuration(ruleNamed("x")), 1)
 	var calls platform.Calls
-	if err := f.get("http://"+f.admin+"/admin/calls", &calls); err != nil {
+	if err := f.getJSON("http://"+f.platformAddress+"/admin/calls", &calls); err != nil {
 		t.Fatal(err)
 	}
-	f.faults(platform.Faults{StaleRevision: before.Revision, Forget: true})
+	f.setFaults(platform.Faults{StaleRevision: before.Revision, Forget: true})
 	eventually(t, "lists again", func() error {
 		var now platform.Calls
-		if err := f.get("http://"+f.admin+"/admin/calls", &now); err != nil {
+		if err := f.getJSON("http://"+f.platformAddress+"/admin/calls", &now); err != nil {
 			return err
 		}
 		if now.Reads < calls.Reads+int64(len(f.entries)) {
@@ -139,15 +144,15 @@
 		return nil
 	})
 	for _, d := range f.entries {
-		d.inForce(2)
+		d.awaitConfiguration(2)
 	}
 }
 
+// TestConfigurationOfTwoOperators applies two drafts of the same configuration at once through
+// two daemons. One must succeed. The other must fail with a conflict that names the change of the
+// first, and no part of it may be in force.
 func TestConfigurationOfTwoOperators(t *testing.T) {
-	// Two operators edit the same configuration and apply at once, through
-	// two daemons. One must win; the other must get a conflict that names the
-	// winner's change, and nothing of the loser's may be in force.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	for round := range uint64(5) {
 		from := 1 + round
 		var errs [2]error
@@ -161,31 +166,31 @@
 		if (errs[0] == nil) == (errs[1] == nil) {
 			t.Fatalf("round %d: %v, %v", round, errs[0], errs[1])
 		}
-		lost := errs[0]
-		if lost == nil {
-			lost = errs[1]
+		conflict := errs[0]
+		if conflict == nil {
+			conflict = errs[1]
 		}
-		e := twirpError(lost)
+		e := twirpError(conflict)
 		if e == nil || e.Code() != twirp.Aborted || !strings.Contains(e.Msg(), "conflict") {
-			t.Fatalf("round %d: %v", round, lost)
+			t.Fatalf("round %d: %v", round, conflict)
 		}
 		for _, d := range f.entries {
-			d.inForce(from + 1)
+			d.awaitConfiguration(from + 1)
 		}
 	}
-	// One after the other is no race for the platform, yet the second draft
-	// was made without the first one's change.
+	// A draft that comes later does not conflict at the platform, but it must be refused as well if
+	// it is based on an older configuration.
 	if _, err := f.entries[2].apply(configuration(ruleNamed("late")), 1); twirpError(err) == nil || twirpError(err).Code() != twirp.Aborted {
 		t.Fatalf("a draft from an old number: %v", err)
 	}
 }
 
+// TestConfigurationAnswerLostAfterWrite loses the platform's answer after it has stored a
+// configuration. The operator must learn that the change is in force, and the history must hold
+// it once.
 func TestConfigurationAnswerLostAfterWrite(t *testing.T) {
-	// The platform stores the configuration and its answer is lost. The
-	// operator must learn that the change is in force, and the history must
-	// hold it once.
-	f := three(t)
-	f.faults(platform.Faults{LoseAnswers: 1})
+	f := newThreeZoneFleet(t)
+	f.setFaults(platform.Faults{LoseAnswers: 1})
 	a := f.entries[0].mustApply(configuration(ruleNamed("x")), 1)
 	if a.Number != 2 {
 		t.Fatalf("%v", a)
@@ -199,38 +204,38 @@
 	}
 }
 
+// TestConfigurationOutcomeUnknown loses the platform's answer after it has stored a
+// configuration, and then takes the platform down. The operator must be told that the outcome is
+// unknown, never that nothing changed, and the change must be in force after the outage.
 func TestConfigurationOutcomeUnknown(t *testing.T) {
-	// The write takes effect, its answer is lost and the platform goes down.
-	// The operator must be told that the outcome is unknown, never that
-	// nothing changed; after the outage the change is in force.
-	f := three(t)
-	f.faults(platform.Faults{LoseAnswers: 1, FailAfterLost: true})
+	f := newThreeZoneFleet(t)
+	f.setFaults(platform.Faults{LoseAnswers: 1, FailAfterLost: true})
 	_, err := f.entries[0].apply(configuration(ruleNamed("x")), 1)
 	if e := twirpError(err); e == nil || e.Code() != twirp.Unknown {
 		t.Fatalf("%v", err)
 	}
-	f.faults(platform.Faults{})
-	f.entries[1].inForce(2)
-	// An apply that cannot even read the platform has changed nothing.
-	f.proxy.Set(zoneNet(1), injector.Fault{Cut: true})
+	f.setFaults(platform.Faults{})
+	f.entries[1].awaitConfiguration(2)
+	// An apply that cannot read from the platform has changed nothing, and must say so.
+	f.platformProxy.Set(zoneNet(1), injector.Fault{Cut: true})
 	_, err = f.entries[0].apply(configuration(ruleNamed("y")), 2)
 	if e := twirpError(err); e == nil || e.Code() != twirp.Unavailable || !strings.HasPrefix(e.Msg(), "nothing changed") {
 		t.Fatalf("%v", err)
 	}
 }
 
-// raw writes an object past all checks.
-func (f *fleet) raw(key string, value any) {
+// overwriteObject writes an object of the platform directly, without the checks of an apply.
+func (f *fleet) overwriteObject(key string, value any) {
 	f.t.Helper()
 	var o object.Object
-	if err := f.get("http://"+f.admin+"/v1/objects/"+key, &o); err != nil {
+	if err := f.getJSON("http://"+f.platformAddress+"/v1/objects/"+key, &o); err != nil {
 		f.t.Fatal(err)
 	}
 	body, err := json.Marshal(value)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	r, err := http.NewRequest(http.MethodPut, "http://"+f.admin+"/v1/objects/"+key, bytes.NewReader(body))
+	r, err := http.NewRequest(http.MethodPut, "http://"+f.platformAddress+"/v1/objects/"+key, bytes.NewReader(body))
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -242,12 +247,12 @@
 	resp.Body.Close()
 }
 
+// TestConfigurationBadObjectIsRefused writes an invalid configuration directly to the platform.
+// Every daemon must keep the last valid one and report what it refused, and the next apply must
+// replace the invalid one.
 func TestConfigurationBadObjectIsRefused(t *testing.T) {
-	// Somebody writes a bad configuration straight to the platform. Every
-	// daemon must keep the last good one and say what it refused; the next
-	// apply must replace the bad one.
-	f := three(t)
-	f.raw(inventory.ConfigurationKey, keeper.Record{Source: "Rules: nonsense", Change: keeper.Change{Number: 7}})
+	f := newThreeZoneFleet(t)
+	f.overwriteObject(inventory.ConfigurationKey, keeper.Record{Source: "Rules: nonsense", Change: keeper.Change{Number: 7}})
 	for _, d := range f.entries {
 		eventually(t, d.host, func() error {
 			s, err := d.status()
@@ -266,22 +271,21 @@
 	}
 }
 
+// TestConfigurationSurvivesRestoredPlatform restores an old configuration at the platform, as a
+// backup does. No daemon may go back to it, and operators must be able to apply new ones.
 func TestConfigurationSurvivesRestoredPlatform(t *testing.T) {
-	// The platform is restored from a backup and holds an old configuration.
-	// No daemon may go back to it, and operators must be able to go on.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	var o object.Object
-	if err := f.get("http://"+f.admin+"/v1/objects/"+inventory.ConfigurationKey, &o); err != nil {
+	if err := f.getJSON("http://"+f.platformAddress+"/v1/objects/"+inventory.ConfigurationKey, &o); err != nil {
 		t.Fatal(err)
 	}
 	f.entries[0].mustApply(configuration(ruleNamed("x")), 1)
-	f.raw(inventory.ConfigurationKey, o.Value)
-	// A host that is listed after the restore shows that each daemon has seen
-	// the restored object too.
-	f.addPlain(1)
-	f.ready()
+	f.overwriteObject(inventory.ConfigurationKey, o.Value)
+	// A daemon that lists a host added after the restore has seen the restored object, too.
+	f.addPlainService(1)
+	f.awaitReady()
 	for _, d := range f.entries {
-		d.inForce(2)
+		d.awaitConfiguration(2)
 	}
 	a := f.entries[1].mustApply(configuration(ruleNamed("y")), 2)
 	if a.Number != 3 || len(a.InForce) != 3 {
@@ -289,10 +293,10 @@
 	}
 }
 
+// TestConfigurationInvalidDraftNamesEveryProblem applies a draft with several mistakes. It must
+// be refused with all of them at once, each with file, line and field, and change nothing.
 func TestConfigurationInvalidDraftNamesEveryProblem(t *testing.T) {
-	// A draft with several mistakes must be refused with all of them at once,
-	// each with file, line and field, and change nothing.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	bad := strings.ReplaceAll(configuration(ruleNamed("a"), ruleNamed("a")), "Timeout: 60s", "Timeout: 60")
 	_, err := f.entries[0].apply(bad, 1)
 	e := twirpError(err)
@@ -304,5 +308,5 @@
 			t.Errorf("%q lacks %q", e.Msg(), part)
 		}
 	}
-	f.entries[0].inForce(1)
+	f.entries[0].awaitConfiguration(1)
 }
--- a/integration/duties_test.go
+++ b/integration/duties_test.go
@@ -13,9 +13,9 @@
 	"brasschute/internal/standin/hosting"
 )
 
-// counted sums the reports of an organisation, each window once. Two reports of a
-// window that differ, and a fencing number that falls, are errors.
-func (s *site) counted(organisation string) (int, error) {
+// reportedRequests sums the reported requests of an organisation, counting each window once. It
+// returns an error if two reports of a window differ, or if a fencing number decreases.
+func (s *site) reportedRequests(organisation string) (int, error) {
 	windows := make(map[int64]string)
 	sum, fencing := 0, uint64(0)
 	for _, r := range s.cloud.Reports() {
@@ -34,32 +34,33 @@
 	return sum, nil
 }
 
-// The daemon that reports usage is killed. What both daemons counted before is in
-// the reports once, and the other one goes on with a higher fencing number.
+// TestUsageIsReportedOnce kills the daemon that reports usage. The requests that both daemons
+// counted before must be in the reports once, and the other daemon must go on with a higher
+// fencing number.
 func TestUsageIsReportedOnce(t *testing.T) {
 	s := newSite(t)
 	s.duties = `["usage"]`
-	s.engine(hosting.Config{ID: "i-app", Service: plainService})
-	hosts := []*gatewayHost{s.host(), s.host()}
+	s.addEngine(hosting.Config{ID: "i-app", Service: plainService})
+	hosts := []*gatewayHost{s.addReadyHost(), s.addReadyHost()}
 	const each = 5
 	for range each {
 		for _, h := range hosts {
-			if a := h.send(hostedRequest{Target: onceTarget, Key: deskKey}); a.status != http.StatusOK {
+			if a := h.send(hostedRequest{Target: nonIdempotentPath, Key: deskKey}); a.status != http.StatusOK {
 				t.Fatalf("answer: %+v", a)
 			}
 		}
 	}
-	expect := func(n int) {
+	awaitReported := func(n int) {
 		t.Helper()
 		eventually(t, "usage", func() error {
-			sum, err := s.counted(deskName)
+			sum, err := s.reportedRequests(deskName)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return want("requests reported", sum, n)
+			return checkEqual("requests reported", sum, n)
 		})
 	}
-	expect(2 * each)
+	awaitReported(2 * each)
 	reports := s.cloud.Reports()
 	holder := reports[len(reports)-1].Holder
 	survivor := hosts[0]
@@ -71,53 +72,54 @@
 		}
 	}
 	for range each {
-		if a := survivor.send(hostedRequest{Target: onceTarget, Key: deskKey}); a.status != http.StatusOK {
+		if a := survivor.send(hostedRequest{Target: nonIdempotentPath, Key: deskKey}); a.status != http.StatusOK {
 			t.Fatalf("answer: %+v", a)
 		}
 	}
-	expect(3 * each)
+	awaitReported(3 * each)
 	reports = s.cloud.Reports()
 	if last := reports[len(reports)-1]; last.Holder != survivor.name {
 		t.Errorf("the last report came from %s", last.Holder)
 	}
 }
 
-// The answer to a report is lost after the platform took it. The repeat must be
-// the same to the byte, though more requests were counted meanwhile.
+// TestLostAnswersToReports loses the answers to reports that the platform has accepted. Each
+// repeated report must be the same to the byte, although more requests have been counted
+// meanwhile.
 func TestLostAnswersToReports(t *testing.T) {
 	s := newSite(t)
 	s.duties = `["usage"]`
-	s.engine(hosting.Config{ID: "i-app", Service: plainService})
+	s.addEngine(hosting.Config{ID: "i-app", Service: plainService})
 	n := 0
 	s.cloud.SetLoseAnswer(func(string) bool { n++; return n%2 == 1 })
-	h := s.host()
+	h := s.addReadyHost()
 	const requests = 12
 	for range requests {
-		h.send(hostedRequest{Target: onceTarget, Key: deskKey})
+		h.send(hostedRequest{Target: nonIdempotentPath, Key: deskKey})
 	}
 	eventually(t, "usage", func() error {
-		sum, err := s.counted(deskName)
+		sum, err := s.reportedRequests(deskName)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return want("requests reported", sum, requests)
+		return checkEqual("requests reported", sum, requests)
 	})
 }
 
-// Requests that are not what they seem reach the listener: two lengths, a second
-// request inside a body, a chunked body that is also counted. An engine may get
-// none of them, and never what was hidden inside.
+// TestMalformedRequestsReachNoEngine sends requests whose end is ambiguous (request smuggling):
+// two lengths, a second request inside a body, a body that is chunked and has a length. No engine
+// may get one of them or the request hidden inside.
 func TestMalformedRequestsReachNoEngine(t *testing.T) {
 	s := newSite(t)
-	app := s.engine(hosting.Config{ID: "i-app", Service: plainService})
-	h := s.host()
-	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\n", onceTarget, hostedDomain, deskKey)
+	app := s.addEngine(hosting.Config{ID: "i-app", Service: plainService})
+	h := s.addReadyHost()
+	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\nAuthorization: Bearer %s\r\n", nonIdempotentPath, hostedDomain, deskKey)
 	hidden := head + "Request-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 	cases := map[string]string{
 		"two lengths":           head + "Request-Id: a\r\nContent-Length: 0\r\nContent-Length: " + fmt.Sprint(len(hidden)) + "\r\n\r\n" + hidden,
 		"length a word":         head + "Request-Id: a\r\nContent-Length: many\r\n\r\n",
 		"negative length":       head + "Request-Id: a\r\nContent-Length: -1\r\n\r\n" + hidden,
-		"no host":               "POST " + onceTarget + " HTTP/1.1\r\nRequest-Id: a\r\nContent-Length: 0\r\n\r\n",
+		"no host":               "POST " + nonIdempotentPath + " HTTP/1.1\r\nRequest-Id: a\r\nContent-Length: 0\r\n\r\n",
 		"space before colon":    head + "Request-Id : a\r\nContent-Length: 0\r\n\r\n",
 		"unknown encoding":      head + "Request-Id: a\r\nTransfer-Encoding: secret\r\n\r\n" + hidden,
 		"no request at all":     "these are only words\r\n\r\n",
@@ -150,46 +152,46 @@
 	}
 }
 
-// What an operator on call has after the fact are a request's id, the logs and
-// the counters. For three kinds of failure they must lead to the cause.
+// TestFailuresCanBeExplained checks that an operator who has only the id of a request, the logs
+// and the metrics can find the cause of three kinds of failure.
 func TestFailuresCanBeExplained(t *testing.T) {
 	s := newSite(t)
 	s.configure(func(c *hostedConfig) {
 		c.Tenants[0].RatePerS, c.Tenants[0].Burst = 1, 3
 		c.Tenants = append(c.Tenants, hostedOrganisation{Name: "free", ApiKeys: []string{"free-key"}})
 	})
-	s.engine(hosting.Config{ID: "i-app", Service: plainService})
-	lm := s.engine(hosting.Config{ID: "i-lm", Service: modelService, StreamLength: 10})
+	s.addEngine(hosting.Config{ID: "i-app", Service: plainService})
+	lm := s.addEngine(hosting.Config{ID: "i-lm", Service: modelService, StreamLength: 10})
 	s.configure(func(c *hostedConfig) { c.Routes[0].Resumable = false })
-	h := s.host()
+	h := s.addReadyHost()
 	t.Run("refused for quota", func(t *testing.T) {
 		id := ""
 		for n := range 10 {
 			id = fmt.Sprintf("quota-%d", n)
-			if h.send(hostedRequest{ID: id, Target: onceTarget, Key: deskKey}).status == http.StatusTooManyRequests {
+			if h.send(hostedRequest{ID: id, Target: nonIdempotentPath, Key: deskKey}).status == http.StatusTooManyRequests {
 				break
 			}
 		}
-		h.explained(t, id, "not-run", "quota", "a second")
+		h.checkRequestLog(t, id, "not-run", "quota", "a second")
 	})
 	t.Run("cut by an engine", func(t *testing.T) {
 		lm.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.TruncateAnswer })
-		if a := h.send(hostedRequest{ID: "cut", Target: streamPath, Key: "free-key"}); a.err == nil {
+		if a := h.send(hostedRequest{ID: "cut", Target: streamingPath, Key: "free-key"}); a.err == nil {
 			t.Fatalf("answer: %+v", a)
 		}
-		h.explained(t, "cut", "cut", "after event 5", "i-lm")
+		h.checkRequestLog(t, "cut", "cut", "after event 5", "i-lm")
 	})
 	t.Run("a daemon that knows nothing yet", func(t *testing.T) {
-		lost := newSite(t)
-		lost.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Unavailable })
-		alone := lost.unready()
+		noStore := newSite(t)
+		noStore.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Unavailable })
+		alone := noStore.addHost()
 		eventually(t, "an answer", func() error {
-			return want("status", alone.send(hostedRequest{ID: "early", Target: onceTarget, Key: deskKey}).status, http.StatusServiceUnavailable)
+			return checkEqual("status", alone.send(hostedRequest{ID: "early", Target: nonIdempotentPath, Key: deskKey}).status, http.StatusServiceUnavailable)
 		})
-		alone.explained(t, "early", "not-run", "no configuration")
+		alone.checkRequestLog(t, "early", "not-run", "no configuration")
 		// The request may come before the answer to the daemon's first call.
-		eventually(t, "the line that the store is lost", func() error {
-			return want("line", len(alone.lines("store lost")) > 0, true)
+		eventually(t, "the log line that the store is lost", func() error {
+			return checkEqual("line", len(alone.logLines("store lost")) > 0, true)
 		})
 	})
 	t.Run("counters", func(t *testing.T) {
@@ -213,15 +215,16 @@
 	})
 }
 
-// explained checks that a request's line holds its outcome and some words.
-func (h *gatewayHost) explained(t *testing.T, id, outcome string, words ...string) {
+// checkRequestLog waits for the request's line in the access log and checks its outcome and that
+// it contains all words.
+func (h *gatewayHost) checkRequestLog(t *testing.T, id, outcome string, words ...string) {
 	t.Helper()
 	eventually(t, "line of "+id, func() error {
-		for _, line := range h.lines("request ended") {
+		for _, line := range h.logLines("request ended") {
 			if line["request"] != id {
 				continue
 			}
-			if err := want("outcome", fmt.Sprint(line["outcome"]), outcome); err != nil {
+			if err := checkEqual("outcome", fmt.Sprint(line["outcome"]), outcome); err != nil {
 				return err
 			}
 			for _, word := range words {
@@ -231,14 +234,16 @@
 			}
 			return nil
 		}
-		return fmt.Errorf("there is none")
+		return fmt.Errorf("no line")
 	})
 }
 
+// TestCommandsForTheHostingPlatform runs the command line against a daemon: "beliefs" must print
+// its local view, and "settings" must accept a valid file and refuse an invalid one by name.
 func TestCommandsForTheHostingPlatform(t *testing.T) {
 	s := newSite(t)
-	s.engine(hosting.Config{ID: "i-app", Service: plainService})
-	h := s.host()
+	s.addEngine(hosting.Config{ID: "i-app", Service: plainService})
+	h := s.addReadyHost()
 	out := runCommand(t, 0, "beliefs", h.ip+":7600")
 	for _, word := range []string{`"Configuration": 2`, `"Endpoint": "i-app"`, `"FollowsStore": true`} {
 		if !strings.Contains(out, word) {
@@ -254,11 +259,11 @@
 	}
 }
 
-// runCommand runs the command line and checks its exit code.
+// runCommand runs the command line, checks its exit code and returns its output.
 func runCommand(t *testing.T, code int, args ...string) string {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append(os.Environ(), roleVariable+"=brasschute")
+	cmd.Env = append(os.Environ(), roleEnv+"=brasschute")
 	out, _ := cmd.CombinedOutput()
 	if got := cmd.ProcessState.ExitCode(); got != code {
 		t.Errorf("%v: exit code %d, want %d: %s", args, got, code, out)
@@ -266,14 +271,14 @@
 	return string(out)
 }
 
-// All daemons are killed, and one comes back whose seeds are gone for good. It knew
-// nobody until somebody called it, and gave out only its part of each quota. The
-// store has the addresses of the fleet.
+// TestProcessFindsItsPeersInTheStore starts a daemon without seeds, as after the loss of all
+// daemons it knew. Such a daemon knew no peer until one called it, and until then granted only
+// its own share of each quota. It must find the addresses of the fleet in the store.
 func TestProcessFindsItsPeersInTheStore(t *testing.T) {
 	s := newSite(t)
 	s.duties = `["usage"]`
-	s.engine(hosting.Config{ID: "i-app", Service: plainService})
-	first, second := s.host(), s.host()
+	s.addEngine(hosting.Config{ID: "i-app", Service: plainService})
+	first, second := s.addReadyHost(), s.addReadyHost()
 	eventually(t, "the fleet's addresses in the store", func() error {
 		spec := string(s.store.Spec("fleet", "size"))
 		for _, h := range []*gatewayHost{first, second} {
@@ -284,11 +289,11 @@
 		return nil
 	})
 	s.hosts = nil
-	third := s.stopped()
-	third.startsAgain()
+	third := s.prepareHost()
+	third.clearFirstStart()
 	third.start()
 	third.awaitReady()
 	eventually(t, "peers of a process without seeds", func() error {
-		return want("peers", len(third.beliefs(t).Peers), 2)
+		return checkEqual("peers", len(third.view(t).Peers), 2)
 	})
 }
--- a/integration/examples_test.go
+++ b/integration/examples_test.go
@@ -12,9 +12,10 @@
 	"brasschute/internal/measure/workload"
 )
 
+// TestExamplesAreValid guards against example deployments that no longer work: it loads the
+// settings and the configuration of both examples as a user would copy them, and checks which
+// rule matches typical requests.
 func TestExamplesAreValid(t *testing.T) {
-	// Both users' deployments, as they would be copied: settings and
-	// configuration must load, and their rules decide as the users need.
 	at := func(clock, date string) compiler.Facts {
 		return compiler.Facts{Clock: clock, Date: date, Headers: map[string]string{}}
 	}
@@ -60,14 +61,14 @@
 	}
 }
 
+// TestLoadToolIsAnsweredWhole sends a short workload of the load generator to a daemon. Every
+// request must be answered completely.
 func TestLoadToolIsAnsweredWhole(t *testing.T) {
-	// The load tool sends a short workload to a daemon; every request must be
-	// answered whole.
-	_, d := small(t)
+	_, d := newSmallFleet(t)
 	mix := workload.Werkbrug()
 	mix.RequestsPerSecond = 200
 	s := loadgenerator.New(loadgenerator.Config{
-		Address: d.callers, Key: callerKeys["desk"], Model: "letters", Mix: mix, Seed: 1, MaxDuration: time.Minute, MaxRequests: 60,
+		Address: d.callerAddress, Key: callerKeys["desk"], Model: "letters", Mix: mix, Seed: 1, MaxDuration: time.Minute, MaxRequests: 60,
 		FirstTokenTarget: time.Minute,
 	}).Run(t.Context())
 	if s.Answered != 60 || len(s.Refused) != 0 {
--- a/integration/fleet_test.go
+++ b/integration/fleet_test.go
@@ -29,15 +29,17 @@
 	"brasschute/internal/standin/platform"
 )
 
+// operatorKey is the key of the operator "alex".
 const operatorKey = "test-operator"
 
-// peerKey is shared by the daemons under test.
+// peerKey is the key, in hexadecimal, with which the daemons under test sign their calls to each
+// other.
 var peerKey = strings.Repeat("5a", 32)
 
-// callerKeys are the organisations' keys, by organisation.
+// callerKeys holds the API key of each organisation.
 var callerKeys = map[string]string{"desk": "desk-key", "branch": "branch-key"}
 
-// process is one started process.
+// process is a child process running the test binary in a role.
 type process struct {
 	t      testing.TB
 	name   string
@@ -46,14 +48,14 @@
 	exited chan struct{}
 }
 
-// start runs the test binary in a role.
+// start runs the test binary in a role ("brasschute" or "standin") with command line arguments.
 func start(t testing.TB, role, name string, args ...string) *process {
 	t.Helper()
-	return startWith(t, nil, role, name, args...)
+	return startWithEnv(t, nil, role, name, args...)
 }
 
-// startWith is as start, with variables in the process's environment.
-func startWith(t testing.TB, env []string, role, name string, args ...string) *process {
+// startWithEnv is like start, with additional environment variables.
+func startWithEnv(t testing.TB, env []string, role, name string, args ...string) *process {
 	t.Helper()
 	log, err := os.Create(filepath.Join(t.TempDir(), name+".log"))
 	if err != nil {
@@ -61,7 +63,7 @@
 	}
 	p := &process{t: t, name: name, log: log, exited: make(chan struct{})}
 	p.cmd = exec.Command(os.Args[0], args...)
-	p.cmd.Env = append(append(os.Environ(), roleVariable+"="+role), env...)
+	p.cmd.Env = append(append(os.Environ(), roleEnv+"="+role), env...)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -70,18 +72,20 @@
 		_ = p.cmd.Wait()
 		close(p.exited)
 	}()
-	t.Cleanup(p.end)
+	t.Cleanup(p.killAndCheckLog)
 	return p
 }
 
-// end kills the process and, if the test failed, prints its log.
-func (p *process) end() {
+// killAndCheckLog kills the process and fails the test if its log shows a data race, a panic, or
+// a configuration that replaced one with the same or a higher number. If the test has failed, it
+// prints the log.
+func (p *process) killAndCheckLog() {
 	p.kill()
 	text, _ := os.ReadFile(p.log.Name())
 	if bytes.Contains(text, []byte("WARNING: DATA RACE")) || bytes.Contains(text, []byte("panic:")) {
 		p.t.Errorf("%s: data race or panic", p.name)
 	}
-	if last, next := fell(text); next > 0 {
+	if last, next := configurationDecrease(text); next > 0 {
 		p.t.Errorf("%s: configuration %d came into force after %d", p.name, next, last)
 	}
 	if p.t.Failed() {
@@ -90,10 +94,11 @@
 	_ = p.log.Close()
 }
 
-// fell finds, in a daemon's log, a configuration that came into force after
-// one with the same or a higher number. Asking the daemon would miss one that
-// was in force for a moment only.
-func fell(log []byte) (last, next uint64) {
+// configurationDecrease finds in a daemon's log a configuration that came into force after one
+// with the same or a higher number, and returns both numbers, or zeros if there is none. It reads
+// the log because a status request would miss a configuration that was in force only for a
+// moment.
+func configurationDecrease(log []byte) (last, next uint64) {
 	for line := range bytes.Lines(log) {
 		var entry struct {
 			Msg    string
@@ -117,12 +122,12 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// stopped waits for a graceful end and checks its exit code.
-func (p *process) stopped() {
+// awaitExit waits until the process has ended by itself and checks that its exit code is 0.
+func (p *process) awaitExit() {
 	p.t.Helper()
 	select {
 	case <-p.exited:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		p.t.Fatalf("%s did not stop", p.name)
 	}
 	if code := p.cmd.ProcessState.ExitCode(); code != 0 {
@@ -130,40 +135,41 @@
 	}
 }
 
-// fleet is a system of processes in zones.
+// fleet is a platform, daemons and endpoints in several zones.
 type fleet struct {
 	t        testing.TB
 	platform *process
-	// admin is the platform's own address, proxy that of its proxy.
-	admin   string
-	proxy   *injector.Injector
-	entries []*daemon
-	engines []*endpoint
-	plains  []*endpoint
-	// witnesses acknowledge held answers.
+	// platformAddress is the platform's own address; daemons reach it through platformProxy.
+	platformAddress string
+	platformProxy   *injector.Injector
+	entries         []*daemon
+	engines         []*endpoint
+	plainServices   []*endpoint
+	// witnesses are plain services that acknowledge answers before these are released.
 	witnesses []*endpoint
-	next      map[int]int
-	// number is part of the fleet\'s addresses. Fleets that shared addresses
-	// would take each other\'s ports: a process connects from its own address,
-	// and the kernel gives it any port that is free there.
-	number int
+	// lastIP is the last octet handed out in each zone.
+	lastIP map[int]int
+	// subnet is the third octet of the fleet's addresses. Fleets with common addresses would
+	// take each other's ports: a process connects from its own address, and the kernel gives
+	// the connection any port that is free there.
+	subnet int
 	client *http.Client
 }
 
-// daemon is one entry daemon.
+// daemon is an entry daemon: it accepts the requests of callers.
 type daemon struct {
 	*process
-	f         *fleet
-	host      string
-	zone      int
-	ip        string
-	callers   string
-	operators string
-	peers     *injector.Injector
-	args      []string
+	f               *fleet
+	host            string
+	zone            int
+	ip              string
+	callerAddress   string
+	operatorAddress string
+	peerProxy       *injector.Injector
+	args            []string
 }
 
-// endpoint is one engine or plain service.
+// endpoint is a stand-in engine or plain service.
 type endpoint struct {
 	*process
 	f       *fleet
@@ -175,36 +181,39 @@
 
 func zoneName(z int) string { return fmt.Sprintf("zone-%d", z) }
 
+// zoneNet returns the network of a zone in CIDR notation.
 func zoneNet(z int) string { return fmt.Sprintf("127.%d.0.0/16", z) }
 
-// fleets counts the fleets that were started.
-var fleets atomic.Int32
+// fleetCount counts the fleets started so far; it gives each one its subnet.
+var fleetCount atomic.Int32
 
 const (
+	// maxFleets is the number of subnets; later fleets use them again.
 	maxFleets = 250
-	// platformZone is the network of the platform itself.
+	// platformZone is the zone of the platform's own address.
 	platformZone = 100
 )
 
-// newFleet starts a platform; more is added by the test.
+// newFleet starts a platform. The test adds endpoints, daemons and controllers.
 func newFleet(t testing.TB) *fleet {
 	t.Helper()
 	if p, ok := t.(interface{ Parallel() }); ok {
-		// Fleets share nothing but the machine.
+		// Fleets have separate addresses and processes, so tests may run in parallel.
 		p.Parallel()
 	}
-	f := &fleet{t: t, next: make(map[int]int), number: int(fleets.Add(1)-1)%maxFleets + 1}
+	f := &fleet{t: t, lastIP: make(map[int]int), subnet: int(fleetCount.Add(1)-1)%maxFleets + 1}
 	f.client = &http.Client{
 		Transport:     &http.Transport{DisableKeepAlives: true},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
-	f.admin = freeAddress(t, f.ip(platformZone))
-	f.platform = start(t, "standin", "platform", "platform", "--listen", f.admin)
-	eventually(t, "platform", func() error { return f.get("http://"+f.admin+"/admin/calls", new(platform.Calls)) })
-	f.proxy = f.newProxy("127.0.0.1", f.admin)
+	f.platformAddress = freeAddress(t, f.nextIP(platformZone))
+	f.platform = start(t, "standin", "platform", "platform", "--listen", f.platformAddress)
+	eventually(t, "platform", func() error { return f.getJSON("http://"+f.platformAddress+"/admin/calls", new(platform.Calls)) })
+	f.platformProxy = f.newProxy("127.0.0.1", f.platformAddress)
 	return f
 }
 
+// newProxy starts a proxy to target on a free port of ip.
 func (f *fleet) newProxy(ip, target string) *injector.Injector {
 	f.t.Helper()
 	for {
@@ -212,9 +221,9 @@
 		if err != nil {
 			f.t.Fatal(err)
 		}
-		// The kernel may offer a port that was promised to a process which
-		// has not bound it yet; that one must be given up at once.
-		if _, promised := given.LoadOrStore(p.Address(), true); promised {
+		// The kernel may offer a port that is assigned to a process which has not
+		// bound it yet. The proxy must release it at once.
+		if _, assigned := assignedAddresses.LoadOrStore(p.Address(), true); assigned {
 			p.Close()
 			continue
 		}
@@ -223,12 +232,11 @@
 	}
 }
 
-// given holds the addresses that were handed out: the kernel may offer a port
-// again before the process it was meant for has bound it.
-var given sync.Map
+// assignedAddresses holds every address handed out so far. Without it, the kernel may offer a
+// port a second time before the process that it was meant for has bound it.
+var assignedAddresses sync.Map
 
-// freeAddress returns an address whose port is free now and that was not
-// returned before.
+// freeAddress returns an address of ip with a port that is free and was not handed out before.
 func freeAddress(t testing.TB, ip string) string {
 	t.Helper()
 	for {
@@ -238,53 +246,58 @@
 		}
 		address := l.Addr().String()
 		l.Close()
-		if _, twice := given.LoadOrStore(address, true); !twice {
+		if _, assigned := assignedAddresses.LoadOrStore(address, true); !assigned {
 			return address
 		}
 	}
 }
 
-// ip returns the next address of a zone.
-func (f *fleet) ip(zone int) string {
-	f.next[zone]++
-	return fmt.Sprintf("127.%d.%d.%d", zone, f.number, f.next[zone])
+// nextIP returns an unused IP address in a zone.
+func (f *fleet) nextIP(zone int) string {
+	f.lastIP[zone]++
+	return fmt.Sprintf("127.%d.%d.%d", zone, f.subnet, f.lastIP[zone])
 }
 
+// addEngine starts an engine of the pool "engines" with the model "letters-1".
 func (f *fleet) addEngine(zone int, flags ...string) *endpoint {
 	return f.addEndpoint(zone, "engine", fmt.Sprintf("engine-%d", len(f.engines)+1), "engines",
 		append([]string{"--model", "letters-1"}, flags...), &f.engines)
 }
 
-func (f *fleet) addPlain(zone int) {
-	f.addEndpoint(zone, "plain", fmt.Sprintf("ledger-%d", len(f.plains)+1), "ledgers", nil, &f.plains)
+// addPlainService starts a plain service of the pool "ledgers".
+func (f *fleet) addPlainService(zone int) {
+	f.addEndpoint(zone, "plain", fmt.Sprintf("ledger-%d", len(f.plainServices)+1), "ledgers", nil, &f.plainServices)
 }
 
+// addEndpoint starts a stand-in behind a proxy, waits until it answers, and appends it to list.
 func (f *fleet) addEndpoint(zone int, role, name, pool string, flags []string, list *[]*endpoint) *endpoint {
 	f.t.Helper()
-	ip := f.ip(zone)
+	ip := f.nextIP(zone)
 	e := &endpoint{f: f, name: name, zone: zone, address: freeAddress(f.t, ip)}
 	e.proxy = f.newProxy(ip, e.address)
 	args := append([]string{
-		role, "--listen", e.address, "--advertise", e.proxy.Address(), "--platform", f.admin, "--host", name + "-host",
+		role, "--listen", e.address, "--advertise", e.proxy.Address(), "--platform", f.platformAddress, "--host", name + "-host",
 		"--zone", zoneName(zone), "--name", name, "--pool", pool,
 	}, flags...)
 	e.process = start(f.t, "standin", name, args...)
-	eventually(f.t, name, func() error { return f.get("http://"+e.address+"/admin/executions", new(map[string]int)) })
+	eventually(f.t, name, func() error { return f.getJSON("http://"+e.address+"/admin/executions", new(map[string]int)) })
 	*list = append(*list, e)
 	return e
 }
 
+// addWitness starts a plain service of the pool "witnesses".
 func (f *fleet) addWitness(zone int) {
 	f.addEndpoint(zone, "plain", fmt.Sprintf("witness-%d", len(f.witnesses)+1), "witnesses", nil, &f.witnesses)
 }
 
-// addEntry starts an entry daemon; extra lines go into its settings.
+// addEntry starts an entry daemon and waits until it answers operators. The extra lines are
+// appended to its settings.
 func (f *fleet) addEntry(zone int, extra ...string) *daemon {
 	f.t.Helper()
-	d := &daemon{f: f, host: fmt.Sprintf("entry-%d", len(f.entries)+1), zone: zone, ip: f.ip(zone)}
-	d.callers, d.operators = freeAddress(f.t, d.ip), freeAddress(f.t, d.ip)
+	d := &daemon{f: f, host: fmt.Sprintf("entry-%d", len(f.entries)+1), zone: zone, ip: f.nextIP(zone)}
+	d.callerAddress, d.operatorAddress = freeAddress(f.t, d.ip), freeAddress(f.t, d.ip)
 	peers := freeAddress(f.t, d.ip)
-	d.peers = f.newProxy(d.ip, peers)
+	d.peerProxy = f.newProxy(d.ip, peers)
 	file := filepath.Join(f.t.TempDir(), d.host+".yaml")
 	text := fmt.Sprintf(`
 Host: %s
@@ -297,7 +310,7 @@
 PeerKey: %s
 OperatorKeys: [{Name: alex, KeyHash: %s}]
 %s
-`, d.host, zoneName(zone), d.callers, d.operators, peers, d.peers.Address(), f.proxy.Address(), peerKey,
+`, d.host, zoneName(zone), d.callerAddress, d.operatorAddress, peers, d.peerProxy.Address(), f.platformProxy.Address(), peerKey,
 		printer.Hash(operatorKey), strings.Join(extra, "\n"))
 	if !strings.Contains(text, "Drain:") {
 		text += "Drain: {BalancerLag: 10ms, Patience: 20s}\n"
@@ -312,17 +325,17 @@
 	return d
 }
 
-// restart starts a daemon again that has ended.
+// restart starts a daemon whose process has ended.
 func (d *daemon) restart() {
 	d.f.t.Helper()
 	d.process = start(d.f.t, "brasschute", d.host+"-again", d.args...)
 	eventually(d.f.t, d.host, func() error { _, err := d.status(); return err })
 }
 
-// addController starts a controller.
+// addController starts a controller with a lease duration of 1.5 s.
 func (f *fleet) addController(zone int, name string) *process {
 	f.t.Helper()
-	ip := f.ip(zone)
+	ip := f.nextIP(zone)
 	file := filepath.Join(f.t.TempDir(), name+".yaml")
 	text := fmt.Sprintf(`
 Host: %s
@@ -333,14 +346,15 @@
 Platform: %s
 PeerKey: %s
 Lease: {Duration: 1500ms}
-`, name, zoneName(zone), ip, ip, ip, f.proxy.Address(), peerKey)
+`, name, zoneName(zone), ip, ip, ip, f.platformProxy.Address(), peerKey)
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		f.t.Fatal(err)
 	}
 	return start(f.t, "brasschute", name, "controller", "--settings", file)
 }
 
-func (d *daemon) operator() rpc.Operator { return printer.Client(d.operators, operatorKey) }
+// operator returns a client for the calls that operators make to the daemon.
+func (d *daemon) operator() rpc.Operator { return printer.Client(d.operatorAddress, operatorKey) }
 
 func (d *daemon) status() (*rpc.StatusReply, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
@@ -348,13 +362,15 @@
 	return d.operator().Status(ctx, &rpc.StatusRequest{})
 }
 
-// apply brings a configuration into force at a daemon.
+// apply applies a configuration through the daemon. from is the number of the configuration that
+// the draft is based on.
 func (d *daemon) apply(source string, from uint64) (*rpc.Applied, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return d.operator().Apply(ctx, &rpc.Draft{File: "test.yaml", Source: source, From: from})
 }
 
+// mustApply is like apply and fails the test on an error.
 func (d *daemon) mustApply(source string, from uint64) *rpc.Applied {
 	d.f.t.Helper()
 	a, err := d.apply(source, from)
@@ -364,9 +380,9 @@
 	return a
 }
 
-// ready waits until a daemon has a configuration and knows all endpoints and
-// daemons of the fleet.
-func (d *daemon) ready() {
+// awaitReady waits until the daemon has a configuration and knows all daemons of the fleet as
+// alive and all its endpoints.
+func (d *daemon) awaitReady() {
 	d.f.t.Helper()
 	eventually(d.f.t, d.host+" ready", func() error {
 		s, err := d.status()
@@ -379,23 +395,25 @@
 				alive++
 			}
 		}
-		if err := want("daemons", alive, len(d.f.entries)); err != nil {
+		if err := checkEqual("daemons", alive, len(d.f.entries)); err != nil {
 			return err
 		}
 		if s.ConfigurationNumber == 0 {
 			return fmt.Errorf("no configuration")
 		}
-		return want("endpoints", len(s.Endpoints), len(d.f.engines)+len(d.f.plains)+len(d.f.witnesses))
+		return checkEqual("endpoints", len(s.Endpoints), len(d.f.engines)+len(d.f.plainServices)+len(d.f.witnesses))
 	})
 }
 
-func (f *fleet) ready() {
+// awaitReady waits for all entry daemons.
+func (f *fleet) awaitReady() {
 	f.t.Helper()
 	for _, d := range f.entries {
-		d.ready()
+		d.awaitReady()
 	}
 }
 
+// explain returns the record of how the daemon handled a request.
 func (d *daemon) explain(id string) *recorder.Record {
 	d.f.t.Helper()
 	reply, err := d.operator().ExplainRequestID(context.Background(), &rpc.ExplainRequest{Request: id})
@@ -409,7 +427,8 @@
 	return &rec
 }
 
-func (f *fleet) get(url string, out any) error {
+// getJSON decodes the JSON response to a GET request into out.
+func (f *fleet) getJSON(url string, out any) error {
 	resp, err := f.client.Get(url)
 	if err != nil {
 		return err
@@ -418,7 +437,8 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-func (f *fleet) post(url string, in any) {
+// postJSON sends in as JSON and fails the test unless the status is 204.
+func (f *fleet) postJSON(url string, in any) {
 	f.t.Helper()
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -435,35 +455,43 @@
 	}
 }
 
-func (f *fleet) faults(x platform.Faults) { f.post("http://"+f.admin+"/admin/faults", x) }
+// setFaults sets the faults of the platform and replaces earlier ones.
+func (f *fleet) setFaults(x platform.Faults) {
+	f.postJSON("http://"+f.platformAddress+"/admin/faults", x)
+}
 
-// announce gives a reclaim notice for a host.
-func (f *fleet) announce(host string, zone int, deadline time.Time) {
+// sendReclaimNotice makes the platform announce that it reclaims a host at a deadline.
+func (f *fleet) sendReclaimNotice(host string, zone int, deadline time.Time) {
 	f.t.Helper()
-	f.post("http://"+f.admin+"/admin/notices", inventory.Notice{
+	f.postJSON("http://"+f.platformAddress+"/admin/notices", inventory.Notice{
 		Host: identifier.Host(host), AvailabilityZone: identifier.AvailabilityZone(zoneName(zone)),
 		Incarnation: 1 << 62, Deadline: deadline,
 	})
 }
 
-func (e *endpoint) behave(b any) { e.f.post("http://"+e.address+"/admin/behaviour", b) }
+// setBehaviour sets the behaviour of the stand-in: an engine.Behaviour or a plain.Behaviour.
+func (e *endpoint) setBehaviour(b any) { e.f.postJSON("http://"+e.address+"/admin/behaviour", b) }
 
-func (e *endpoint) gate(tokens int) { e.behave(engine.Behaviour{Gate: tokens}) }
+// setGate makes the engine stop each stream after a number of tokens until the gate changes; 0
+// removes the gate.
+func (e *endpoint) setGate(tokens int) { e.setBehaviour(engine.Behaviour{Gate: tokens}) }
 
-func (e *endpoint) hold(on bool) { e.behave(plain.Behaviour{Hold: on}) }
+// setHold makes the plain service run requests without answering them until the hold ends.
+func (e *endpoint) setHold(on bool) { e.setBehaviour(plain.Behaviour{Hold: on}) }
 
-// executions returns how often each request began at an endpoint.
+// executions returns how often the endpoint began to run each request, by request id or key.
 func (e *endpoint) executions() map[string]int {
 	e.f.t.Helper()
 	var out map[string]int
-	if err := e.f.get("http://"+e.address+"/admin/executions", &out); err != nil {
+	if err := e.f.getJSON("http://"+e.address+"/admin/executions", &out); err != nil {
 		e.f.t.Fatal(err)
 	}
 	return out
 }
 
-// total sums the executions whose name begins with a request id or key.
-func total(id string, endpoints ...*endpoint) int {
+// executionCount sums the executions at several endpoints of a request id or idempotency key.
+// Endpoints know a request by its key, or by its id with a random suffix ("id~...").
+func executionCount(id string, endpoints ...*endpoint) int {
 	n := 0
 	for _, e := range endpoints {
 		for name, count := range e.executions() {
@@ -475,17 +503,17 @@
 	return n
 }
 
-// load reads an engine's own report.
-func (e *endpoint) running() int {
+// runningStreams returns the number of running requests in the engine's load report.
+func (e *endpoint) runningStreams() int {
 	e.f.t.Helper()
 	var out struct{ Running int }
-	if err := e.f.get("http://"+e.address+"/v1/load", &out); err != nil {
+	if err := e.f.getJSON("http://"+e.address+"/v1/load", &out); err != nil {
 		e.f.t.Fatal(err)
 	}
 	return out.Running
 }
 
-// configuration returns the tests' configuration with extra rules in front.
+// configuration returns the configuration of the tests with the given rules.
 func configuration(rules ...string) string {
 	return fmt.Sprintf(`Organisations:
   - {Name: desk, KeyHashes: [%s], Concurrency: 400, Queue: 100}
@@ -510,7 +538,7 @@
 `, printer.Hash(callerKeys["desk"]), printer.Hash(callerKeys["branch"]), strings.Join(rules, ", "))
 }
 
-// reply is a whole response.
+// reply is a response with its whole body, or the error of the call.
 type reply struct {
 	status int
 	header http.Header
@@ -518,7 +546,7 @@
 	err    error
 }
 
-// outcome returns the outcome that a refusal states.
+// outcome returns the outcome that a refusal states: "not-run" or "unknown".
 func (r *reply) outcome() string {
 	var p struct {
 		Type    string
@@ -528,15 +556,17 @@
 	return p.Outcome
 }
 
-func (r *reply) kind() string {
+// problemType returns the type of a problem+json answer without its prefix.
+func (r *reply) problemType() string {
 	var p struct{ Type string }
 	_ = json.Unmarshal([]byte(r.body), &p)
 	return strings.TrimPrefix(p.Type, "urn:brasschute:problem:")
 }
 
-// call sends one request with the desk's key.
+// call sends a request with the key of the organisation "desk". headers are names and values in
+// turn and may replace the key.
 func (d *daemon) call(ctx context.Context, method, path, body string, headers ...string) *reply {
-	r, err := http.NewRequestWithContext(ctx, method, "http://"+d.callers+path, strings.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, method, "http://"+d.callerAddress+path, strings.NewReader(body))
 	if err != nil {
 		return &reply{err: err}
 	}
@@ -553,11 +583,12 @@
 	return &reply{status: resp.StatusCode, header: resp.Header, body: string(text), err: err}
 }
 
+// do is call without a deadline.
 func (d *daemon) do(method, path, body string, headers ...string) *reply {
 	return d.call(context.Background(), method, path, body, headers...)
 }
 
-// background runs f and returns a function that waits for its result.
+// background runs f in a goroutine and returns a function that waits for its result.
 func background[T any](f func() T) func() T {
 	var out T
 	var group sync.WaitGroup
--- a/integration/hosted_test.go
+++ b/integration/hosted_test.go
@@ -19,47 +19,49 @@
 	"brasschute/platform"
 )
 
-// Names of the hosted deployment that the tests configure.
+// Names in the configuration of the hosted deployments, which the tests use in requests.
 const (
-	hostedDomain = "desk.example"
-	streamPath   = "/letters/"
-	onceTarget   = "/postings/"
-	againPath    = "/lookups/"
-	modelService = "lm"
-	plainService = "app"
-	deskKey      = "desk-key"
-	deskName     = "desk"
+	hostedDomain      = "desk.example"
+	streamingPath     = "/letters/"
+	nonIdempotentPath = "/postings/"
+	idempotentPath    = "/lookups/"
+	modelService      = "lm"
+	plainService      = "app"
+	deskKey           = "desk-key"
+	deskName          = "desk"
 )
 
-// sites counts the hosted deployments that were started.
-var sites atomic.Int32
+// siteCount counts the hosted deployments started so far; it gives each one its network.
+var siteCount atomic.Int32
 
-// site is a hosted deployment: stand-ins in this process, daemons in their own.
+// site is a deployment on the hosting platform: stand-ins for store, cloud and engines in this
+// process, daemons in processes of their own.
 type site struct {
-	t       testing.TB
-	number  int
-	store   *hosting.Store
-	cloud   *hosting.Cloud
-	cloudAt string
-	hosts   []*gatewayHost
-	engines map[string]*hosting.Engine
-	next    int
-	config  hostedConfig
-	// duties are those that the daemons' settings list.
+	t            testing.TB
+	number       int
+	store        *hosting.Store
+	cloud        *hosting.Cloud
+	cloudAddress string
+	hosts        []*gatewayHost
+	engines      map[string]*hosting.Engine
+	lastHost     int
+	config       hostedConfig
+	// duties is the list of duties in the daemons' settings, as TOML.
 	duties string
 	client *http.Client
 }
 
-// gatewayHost is one daemon with its settings file.
+// gatewayHost is a daemon with its settings file.
 type gatewayHost struct {
 	*process
-	s       *site
-	name    string
-	ip      string
-	file    string
-	storeAt string
+	s            *site
+	name         string
+	ip           string
+	file         string
+	storeAddress string
 }
 
+// hostedRoute is a route as the platform writes it.
 type hostedRoute struct {
 	Name, Host, PathPrefix, Kind, Service string
 	TimeoutMs, SloMs, GapSloMs            int
@@ -67,6 +69,7 @@
 	Public, Resumable, SessionAffinity    bool
 }
 
+// hostedOrganisation is an organisation as the platform writes it.
 type hostedOrganisation struct {
 	Name        string
 	ApiKeys     []string //nolint:revive // the platform's spelling
@@ -76,12 +79,14 @@
 	Burst       float64
 }
 
+// hostedService is a service as the platform writes it.
 type hostedService struct {
 	Name   string
 	Engine map[string]any `json:",omitempty"`
 	Scale  map[string]any `json:",omitempty"`
 }
 
+// hostedConfig is the configuration as the platform writes it to the store.
 type hostedConfig struct {
 	Version  int
 	Routes   []hostedRoute
@@ -90,25 +95,25 @@
 	Tenants  []hostedOrganisation
 }
 
-// newSite starts a store and a cloud, with a configuration in the store.
+// newSite starts a store and a cloud, and writes a configuration to the store.
 func newSite(t testing.TB) *site {
 	t.Helper()
 	if p, ok := t.(interface{ Parallel() }); ok {
 		p.Parallel()
 	}
 	s := &site{
-		t: t, number: int(sites.Add(1)), store: hosting.NewStore(), cloud: new(hosting.Cloud),
+		t: t, number: int(siteCount.Add(1)), store: hosting.NewStore(), cloud: new(hosting.Cloud),
 		engines: make(map[string]*hosting.Engine), duties: `[]`,
 		client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}},
 	}
 	t.Cleanup(s.store.Close)
-	s.cloudAt = s.serve(s.cloud)
+	s.cloudAddress = s.serve(s.cloud)
 	s.config = hostedConfig{
 		Version: 1,
 		Routes: []hostedRoute{
-			{Name: "letters", Host: hostedDomain, PathPrefix: streamPath, Kind: "streaming", Service: modelService, TimeoutMs: 15000, SloMs: 1000, MaxAttempts: 2, Resumable: true},
-			{Name: "postings", Host: hostedDomain, PathPrefix: onceTarget, Kind: "non_idempotent", Service: plainService, TimeoutMs: 10000, SloMs: 500, MaxAttempts: 2},
-			{Name: "lookups", Host: hostedDomain, PathPrefix: againPath, Kind: "idempotent", Service: plainService, TimeoutMs: 10000, SloMs: 500, MaxAttempts: 2},
+			{Name: "letters", Host: hostedDomain, PathPrefix: streamingPath, Kind: "streaming", Service: modelService, TimeoutMs: 15000, SloMs: 1000, MaxAttempts: 2, Resumable: true},
+			{Name: "postings", Host: hostedDomain, PathPrefix: nonIdempotentPath, Kind: "non_idempotent", Service: plainService, TimeoutMs: 10000, SloMs: 500, MaxAttempts: 2},
+			{Name: "lookups", Host: hostedDomain, PathPrefix: idempotentPath, Kind: "idempotent", Service: plainService, TimeoutMs: 10000, SloMs: 500, MaxAttempts: 2},
 		},
 		Services: []hostedService{{Name: modelService, Engine: map[string]any{"Slots": 8, "KvTokens": 100000}}, {Name: plainService}},
 		Tenants:  []hostedOrganisation{{Name: deskName, ApiKeys: []string{deskKey}, PlainTokens: 100}},
@@ -118,14 +123,14 @@
 	return s
 }
 
-// configure writes a new version of the configuration.
+// configure changes the configuration and writes it to the store as a new version.
 func (s *site) configure(change func(*hostedConfig)) {
 	change(&s.config)
 	s.config.Version++
 	s.store.Write("config", "main", s.config)
 }
 
-// serve starts a server on a loopback port and returns its address.
+// serve starts an HTTP server on a loopback port and returns its address.
 func (s *site) serve(h http.Handler) string {
 	s.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -138,8 +143,8 @@
 	return l.Addr().String()
 }
 
-// engine starts an engine and lists it.
-func (s *site) engine(c hosting.Config) *hosting.Engine {
+// addEngine starts an engine and writes its record to the store.
+func (s *site) addEngine(c hosting.Config) *hosting.Engine {
 	s.t.Helper()
 	var e *hosting.Engine
 	c.Address = s.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { e.ServeHTTP(w, r) }))
@@ -152,38 +157,41 @@
 	return e
 }
 
-// host starts a daemon and waits until it is ready.
-func (s *site) host() *gatewayHost {
+// addReadyHost starts a daemon and waits until it is ready.
+func (s *site) addReadyHost() *gatewayHost {
 	s.t.Helper()
-	h := s.unready()
+	h := s.addHost()
 	h.awaitReady()
 	return h
 }
 
-func (s *site) unready() *gatewayHost {
+// addHost starts a daemon without waiting until it is ready.
+func (s *site) addHost() *gatewayHost {
 	s.t.Helper()
-	h := s.stopped()
+	h := s.prepareHost()
 	h.start()
 	return h
 }
 
-// stopped prepares a host whose daemon has not started.
-func (s *site) stopped() *gatewayHost {
+// prepareHost writes the settings of a new host without starting its daemon.
+func (s *site) prepareHost() *gatewayHost {
 	s.t.Helper()
-	s.next++
-	h := &gatewayHost{s: s, name: fmt.Sprintf("front-%d", s.next), ip: fmt.Sprintf("127.%d.%d.%d", 200+s.number>>8, s.number&0xff, s.next)}
-	h.storeAt = s.serve(s.store.HandlerFor(h.name))
+	s.lastHost++
+	h := &gatewayHost{s: s, name: fmt.Sprintf("front-%d", s.lastHost), ip: fmt.Sprintf("127.%d.%d.%d", 200+s.number>>8, s.number&0xff, s.lastHost)}
+	h.storeAddress = s.serve(s.store.HandlerFor(h.name))
 	h.file = filepath.Join(s.t.TempDir(), "boot.toml")
 	h.writeSettings("")
 	s.hosts = append(s.hosts, h)
 	return h
 }
 
+// start starts the daemon with the settings file.
 func (h *gatewayHost) start() {
-	h.process = startWith(h.s.t, []string{platform.SettingsVariable + "=" + h.file}, "brasschute", h.name, "gateway")
+	h.process = startWithEnv(h.s.t, []string{platform.SettingsVariable + "=" + h.file}, "brasschute", h.name, "gateway")
 }
 
-// writeSettings writes the settings file, with more lines at its end.
+// writeSettings writes the settings file with more lines at its end. All hosts prepared so far
+// are seeds.
 func (h *gatewayHost) writeSettings(more string) {
 	seeds := []string{}
 	for _, other := range h.s.hosts {
@@ -223,14 +231,14 @@
 Address = %[5]q
 Duties = %[6]s
 %[7]s
-`, h.name, h.ip, strings.Join(seeds, ","), h.storeAt, h.s.cloudAt, h.s.duties, more)
+`, h.name, h.ip, strings.Join(seeds, ","), h.storeAddress, h.s.cloudAddress, h.s.duties, more)
 	if err := os.WriteFile(h.file, []byte(text), 0o600); err != nil {
 		h.s.t.Fatal(err)
 	}
 }
 
-// startsAgain writes settings that say that the fleet has run before.
-func (h *gatewayHost) startsAgain() {
+// clearFirstStart changes the settings to say that the fleet has run before.
+func (h *gatewayHost) clearFirstStart() {
 	h.s.t.Helper()
 	text, err := os.ReadFile(h.file)
 	if err != nil {
@@ -244,20 +252,21 @@
 
 func (h *gatewayHost) awaitReady() {
 	h.s.t.Helper()
-	eventually(h.s.t, h.name+" ready", func() error { return h.ready(http.StatusOK) })
+	eventually(h.s.t, h.name+" ready", func() error { return h.checkReadiness(http.StatusOK) })
 }
 
-func (h *gatewayHost) ready(status int) error {
+// checkReadiness returns an error unless the readiness endpoint answers with status.
+func (h *gatewayHost) checkReadiness(status int) error {
 	resp, err := h.s.client.Get("http://" + h.ip + ":8104/api/ready")
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	return want("readiness", resp.StatusCode, status)
+	return checkEqual("readiness", resp.StatusCode, status)
 }
 
-// beliefs asks a daemon what it believes.
-func (h *gatewayHost) beliefs(t testing.TB) gateway.View {
+// view returns the daemon's local view of the system.
+func (h *gatewayHost) view(t testing.TB) gateway.View {
 	t.Helper()
 	resp, err := h.s.client.Get("http://" + h.ip + ":7600" + gateway.ViewPath)
 	if err != nil {
@@ -271,7 +280,7 @@
 	return b
 }
 
-// hostedRequest is one client request.
+// hostedRequest is a client request. An empty ID gets a new one, an empty Method is POST.
 type hostedRequest struct {
 	ID     string
 	Method string
@@ -281,7 +290,8 @@
 	Body   string
 }
 
-// hostedAnswer is what came back; err is set if the answer was cut.
+// hostedAnswer is the answer to a request. err is set if the request failed or the answer was
+// cut.
 type hostedAnswer struct {
 	status int
 	header http.Header
@@ -289,12 +299,13 @@
 	err    error
 }
 
-var requests atomic.Int64
+// requestCount counts the requests sent without an ID; it gives each one its id.
+var requestCount atomic.Int64
 
-// send sends a request over a connection of its own.
+// send sends a request over a new connection and reads the whole answer.
 func (h *gatewayHost) send(q hostedRequest) hostedAnswer {
 	if q.ID == "" {
-		q.ID = fmt.Sprintf("request-%d", requests.Add(1))
+		q.ID = fmt.Sprintf("request-%d", requestCount.Add(1))
 	}
 	if q.Method == "" {
 		q.Method = http.MethodPost
@@ -321,8 +332,8 @@
 	return hostedAnswer{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// lines returns the log lines of a daemon with a message.
-func (h *gatewayHost) lines(message string) []map[string]any {
+// logLines returns the lines of the daemon's log that have the given message.
+func (h *gatewayHost) logLines(message string) []map[string]any {
 	text, _ := os.ReadFile(h.log.Name())
 	var out []map[string]any
 	scanner := bufio.NewScanner(bytes.NewReader(text))
@@ -336,9 +347,10 @@
 	return out
 }
 
-// inForce is the number of the configuration that a daemon last took over.
-func (h *gatewayHost) inForce() int {
-	lines := h.lines("configuration in force")
+// configurationInForce returns the number of the configuration that came into force last, by the
+// daemon's log, or 0.
+func (h *gatewayHost) configurationInForce() int {
+	lines := h.logLines("configuration in force")
 	if len(lines) == 0 {
 		return 0
 	}
@@ -346,6 +358,7 @@
 	return int(n)
 }
 
+// streamText returns the text of the first events of a stream, up to event number to.
 func streamText(to int) string {
 	var b strings.Builder
 	for n := 1; n <= to; n++ {
@@ -354,7 +367,7 @@
 	return b.String()
 }
 
-// dialHost opens a client's connection to a daemon.
+// dialHost opens a connection to the daemon's client port.
 func dialHost(t testing.TB, h *gatewayHost) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", h.ip+":8101")
@@ -365,8 +378,8 @@
 	return c
 }
 
-// exchange sends a request over a kept connection and tells whether the daemon
-// closes it after the answer.
+// exchange sends a request over a connection and returns the status of the answer and whether the
+// daemon closes the connection after it.
 func exchange(t testing.TB, c net.Conn, request string) (status int, closing bool) {
 	t.Helper()
 	if _, err := io.WriteString(c, request); err != nil {
--- a/integration/main_test.go
+++ b/integration/main_test.go
@@ -1,23 +1,16 @@
-// Package integration proves the promises with real processes behind a
-// fault-injecting proxy.
+// Package integration tests the daemons, controllers and command line as real processes, with
+// fault-injecting proxies between them.
 //
-// # Processes
+// For each process, the test binary starts itself again with [roleEnv] set: it then runs the
+// command line of brasschute or of the stand-ins instead of the tests. The processes are thus
+// built like the tests, including the race detector, and no binary has to be built first.
 //
-// The test binary starts itself again for each process: with roleVariable
-// set, it runs the command line of brasschute or of the stand-ins instead of
-// the tests. So the processes are built as the tests are, race detector
-// included, and nothing else has to be built first.
+// Zone z has the network 127.z.0.0/16, and fleet f uses 127.z.f.0/24 of it. Each process has its
+// own address there, which it also connects from. Each process is reached through its own proxy;
+// the proxy tells callers apart by their source address.
 //
-// # Addresses
-//
-// Zone z has the network 127.z.0.0/16, fleet f the part 127.z.f.0/24, and each
-// process an address of its own in it, from which it also connects. Every process stands behind its own
-// proxy, which tells callers apart by their address.
-//
-// # Time
-//
-// Tests wait for states, never for durations; [eventually] only bounds how
-// long a test that fails takes to say so.
+// Tests wait for a state, never for a fixed time. The timeout of [eventually] only limits how
+// long a failing test takes.
 package integration
 
 import (
@@ -30,10 +23,11 @@
 	"brasschute/internal/standin/starter"
 )
 
-const roleVariable = "BRASSCHUTE_TEST_ROLE"
+// roleEnv is the environment variable that names the command line that the test binary runs.
+const roleEnv = "BRASSCHUTE_TEST_ROLE"
 
 func TestMain(m *testing.M) {
-	switch os.Getenv(roleVariable) {
+	switch os.Getenv(roleEnv) {
 	case "brasschute":
 		os.Exit(commander.New(commander.Config{Output: os.Stdout, Errors: os.Stderr}).Run(os.Args[1:]))
 	case "standin":
@@ -43,14 +37,17 @@
 }
 
 const (
-	patience = 30 * time.Second
-	pause    = 10 * time.Millisecond
+	// waitTimeout limits each wait for a state of the system.
+	waitTimeout = 30 * time.Second
+	// pollInterval is the time between two checks of a state.
+	pollInterval = 10 * time.Millisecond
 )
 
-// eventually waits until f returns nil.
+// eventually calls f every pollInterval until it returns nil, and fails the test with f's last
+// error after waitTimeout. what names the awaited state in the failure.
 func eventually(t testing.TB, what string, f func() error) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := f()
 		if err == nil {
@@ -59,11 +56,12 @@
 		if time.Now().After(deadline) {
 			t.Fatalf("%s: %v", what, err)
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
 }
 
-func want[T comparable](what string, got, expected T) error {
+// checkEqual returns an error that starts with what if got differs from expected.
+func checkEqual[T comparable](what string, got, expected T) error {
 	if got != expected {
 		return fmt.Errorf("%s: got %v, want %v", what, got, expected)
 	}
--- a/integration/membership_test.go
+++ b/integration/membership_test.go
@@ -17,47 +17,48 @@
 	"google.golang.org/protobuf/proto"
 )
 
+// TestMembershipOfPausedDaemon pauses a daemon until the others consider it dead, and resumes it.
+// All must list it as alive again, although the update about its death is still spreading.
 func TestMembershipOfPausedDaemon(t *testing.T) {
-	// A daemon is paused until the others hold it for dead, and wakes up. It
-	// must be believed alive again by all, though news of its death travels.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	p := f.entries[2]
 	p.signal(syscall.SIGSTOP)
-	f.entries[0].believes("entry-3", rpc.State_DEAD)
-	f.entries[1].believes("entry-3", rpc.State_DEAD)
+	f.entries[0].awaitMemberState("entry-3", rpc.State_DEAD)
+	f.entries[1].awaitMemberState("entry-3", rpc.State_DEAD)
 	p.signal(syscall.SIGCONT)
-	f.entries[0].believes("entry-3", rpc.State_ALIVE)
-	f.entries[1].believes("entry-3", rpc.State_ALIVE)
-	p.believes("entry-1", rpc.State_ALIVE)
+	f.entries[0].awaitMemberState("entry-3", rpc.State_ALIVE)
+	f.entries[1].awaitMemberState("entry-3", rpc.State_ALIVE)
+	p.awaitMemberState("entry-1", rpc.State_ALIVE)
 }
 
+// TestMembershipOfRestartedDaemon kills a daemon and starts it again at the same address. The
+// others must list the new incarnation as alive, and it must know them.
 func TestMembershipOfRestartedDaemon(t *testing.T) {
-	// A daemon is killed and started again at the same address. The others
-	// must believe the new life, and it must know them.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	p := f.entries[2]
 	p.kill()
-	f.entries[0].believes("entry-3", rpc.State_DEAD)
+	f.entries[0].awaitMemberState("entry-3", rpc.State_DEAD)
 	p.restart()
-	f.entries[0].believes("entry-3", rpc.State_ALIVE)
-	f.ready()
+	f.entries[0].awaitMemberState("entry-3", rpc.State_ALIVE)
+	f.awaitReady()
 }
 
+// TestMembershipUnderOneWayCut cuts the calls of one daemon to the others, who can still call it.
+// It must remain a member, since every exchange carries updates in both directions.
 func TestMembershipUnderOneWayCut(t *testing.T) {
-	// One daemon can no longer call the others, who can still call it. It
-	// stays a member, since every exchange carries news both ways.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	for _, d := range f.entries[:2] {
-		d.peers.Set(zoneNet(3), injector.Fault{Cut: true})
+		d.peerProxy.Set(zoneNet(3), injector.Fault{Cut: true})
 	}
-	f.proxy.Set(zoneNet(3), injector.Fault{Cut: true})
+	f.platformProxy.Set(zoneNet(3), injector.Fault{Cut: true})
 	f.entries[0].mustApply(configuration(ruleNamed("x")), 1)
-	f.entries[2].inForce(2)
-	f.entries[0].believes("entry-3", rpc.State_ALIVE)
+	f.entries[2].awaitConfiguration(2)
+	f.entries[0].awaitMemberState("entry-3", rpc.State_ALIVE)
 }
 
-// forge sends a leaving notice for an engine's host to a daemon.
-func (f *fleet) forge(d *daemon, client *http.Client, headers http.Header) int {
+// sendForgedNotice sends a daemon an exchange that announces an engine's host as leaving, and
+// returns the status, or 0 on an error.
+func (f *fleet) sendForgedNotice(d *daemon, client *http.Client, headers http.Header) int {
 	f.t.Helper()
 	body, err := proto.Marshal(&rpc.News{
 		Self:    &rpc.Member{Host: "intruder", AvailabilityZone: "zone-1", PeerAddress: "127.9.9.9:1", Incarnation: 1},
@@ -66,7 +67,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	url := "http://" + d.peers.Address() + rpc.PeerPathPrefix + "Exchange"
+	url := "http://" + d.peerProxy.Address() + rpc.PeerPathPrefix + "Exchange"
 	r, err := http.NewRequest(http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		f.t.Fatal(err)
@@ -83,8 +84,8 @@
 	return resp.StatusCode
 }
 
-// untouched checks that a forged message changed nothing.
-func (d *daemon) untouched(t *testing.T, what string) {
+// checkUnchanged checks that a forged message has changed neither endpoints nor members.
+func (d *daemon) checkUnchanged(t *testing.T, what string) {
 	t.Helper()
 	if state := d.endpointState("ledger-1"); state != "usable" {
 		t.Fatalf("%s: the endpoint is %s", what, state)
@@ -100,11 +101,11 @@
 	}
 }
 
+// TestMembershipRefusesForgedMessages announces an endpoint as leaving in messages that are
+// unsigned, signed with another key, or signed by a peer for another daemon. None of them may
+// change anything.
 func TestMembershipRefusesForgedMessages(t *testing.T) {
-	// Somebody on the network says that an endpoint is leaving: unsigned,
-	// signed with another key, or with a peer's signature meant for another
-	// daemon. None may change anything.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	d := f.entries[0]
 	cases := []struct {
 		name   string
@@ -112,73 +113,75 @@
 	}{
 		{"unsigned", &http.Client{}},
 		{"another key", &http.Client{Transport: signer.New(signer.Config{Key: []byte("another key"), Host: "entry-2"}).Sign(http.DefaultTransport)}},
-		{"meant for another daemon", &http.Client{Transport: misdirected(f, f.entries[1])}},
+		{"meant for another daemon", &http.Client{Transport: misdirectingTransport(f, f.entries[1])}},
 	}
 	for _, c := range cases {
-		if status := f.forge(d, c.client, nil); status == http.StatusOK {
+		if status := f.sendForgedNotice(d, c.client, nil); status == http.StatusOK {
 			t.Errorf("%s: accepted", c.name)
 		}
-		d.untouched(t, c.name)
+		d.checkUnchanged(t, c.name)
 	}
 }
 
-// misdirected signs for one daemon and sends to whom it is told.
-func misdirected(f *fleet, signedFor *daemon) http.RoundTripper {
+// misdirectingTransport returns a transport that signs calls for the daemon signedFor and sends
+// them to the first daemon of the fleet.
+func misdirectingTransport(f *fleet, signedFor *daemon) http.RoundTripper {
 	dial := func(ctx context.Context, network, _ string) (net.Conn, error) {
-		return new(net.Dialer).DialContext(ctx, network, f.entries[0].peers.Address())
+		return new(net.Dialer).DialContext(ctx, network, f.entries[0].peerProxy.Address())
 	}
 	s := signer.New(signer.Config{Key: bytes.Repeat([]byte{0x5a}, 32), Host: "entry-2"})
-	return redirected{s.Sign(&http.Transport{DialContext: dial}), signedFor.peers.Address()}
+	return redirectingTransport{s.Sign(&http.Transport{DialContext: dial}), signedFor.peerProxy.Address()}
 }
 
-type redirected struct {
+// redirectingTransport replaces the host of each call.
+type redirectingTransport struct {
 	next http.RoundTripper
 	host string
 }
 
-// RoundTrip addresses the call to another host.
-func (r redirected) RoundTrip(q *http.Request) (*http.Response, error) {
+// RoundTrip sends the call with another host in its URL and its Host header.
+func (r redirectingTransport) RoundTrip(q *http.Request) (*http.Response, error) {
 	q = q.Clone(q.Context())
 	q.URL.Host = r.host
 	q.Host = r.host
 	return r.next.RoundTrip(q)
 }
 
-// recording keeps the headers of the last call.
-type recording struct {
+// recordingTransport keeps the headers of the last call.
+type recordingTransport struct {
 	next   http.RoundTripper
 	header http.Header
 }
 
-// RoundTrip records the signed headers.
-func (r *recording) RoundTrip(q *http.Request) (*http.Response, error) {
+// RoundTrip records the headers, including the signature.
+func (r *recordingTransport) RoundTrip(q *http.Request) (*http.Response, error) {
 	r.header = q.Header.Clone()
 	return r.next.RoundTrip(q)
 }
 
+// TestMembershipRefusesReplay records a genuine message and sends it again. The second one must
+// be refused although its signature is valid.
 func TestMembershipRefusesReplay(t *testing.T) {
-	// A genuine message is recorded on the network and sent again. The second
-	// one must be refused, though its signature is right.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	d := f.entries[0]
-	tap := &recording{next: http.DefaultTransport}
+	tap := &recordingTransport{next: http.DefaultTransport}
 	s := signer.New(signer.Config{Key: bytes.Repeat([]byte{0x5a}, 32), Host: "entry-2"})
 	client := &http.Client{Transport: s.Sign(tap), Timeout: 5 * time.Second}
-	if status := f.forge(d, client, nil); status != http.StatusOK {
+	if status := f.sendForgedNotice(d, client, nil); status != http.StatusOK {
 		t.Fatalf("the genuine message: %d", status)
 	}
-	if status := f.forge(d, http.DefaultClient, tap.header); status != http.StatusUnauthorized {
+	if status := f.sendForgedNotice(d, http.DefaultClient, tap.header); status != http.StatusUnauthorized {
 		t.Fatalf("replayed: %d", status)
 	}
 }
 
+// TestMembershipRefusesOperatorsWithoutKey makes operator calls without a key or with a wrong
+// one. They must be refused and change nothing.
 func TestMembershipRefusesOperatorsWithoutKey(t *testing.T) {
-	// Operators' calls without a key, or with a wrong one, must be refused
-	// and change nothing.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	d := f.entries[0]
 	for _, key := range []string{"", "wrong"} {
-		r, err := http.NewRequest(http.MethodPost, "http://"+d.operators+rpc.OperatorPathPrefix+"Drain", bytes.NewReader(nil))
+		r, err := http.NewRequest(http.MethodPost, "http://"+d.operatorAddress+rpc.OperatorPathPrefix+"Drain", bytes.NewReader(nil))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -198,18 +201,18 @@
 	}
 }
 
+// TestMembershipHealsAfterLongPartition cuts a zone off until both sides consider each other
+// dead, and heals the partition while the platform is down. Daemons must go on to try dead
+// members, or the two sides would never find each other again.
 func TestMembershipHealsAfterLongPartition(t *testing.T) {
-	// A zone is cut off until both sides hold each other for dead, and the cut
-	// heals while the platform is down. Somebody must try the dead again, or
-	// the two sides would never meet.
-	f := three(t)
+	f := newThreeZoneFleet(t)
 	f.isolate(3, true)
-	f.entries[0].believes("entry-3", rpc.State_DEAD)
-	f.entries[2].believes("entry-1", rpc.State_DEAD)
-	f.entries[2].believes("entry-2", rpc.State_DEAD)
-	f.faults(platform.Faults{Outage: true})
+	f.entries[0].awaitMemberState("entry-3", rpc.State_DEAD)
+	f.entries[2].awaitMemberState("entry-1", rpc.State_DEAD)
+	f.entries[2].awaitMemberState("entry-2", rpc.State_DEAD)
+	f.setFaults(platform.Faults{Outage: true})
 	f.isolate(3, false)
-	f.entries[0].believes("entry-3", rpc.State_ALIVE)
-	f.entries[1].believes("entry-3", rpc.State_ALIVE)
-	f.entries[2].believes("entry-1", rpc.State_ALIVE)
+	f.entries[0].awaitMemberState("entry-3", rpc.State_ALIVE)
+	f.entries[1].awaitMemberState("entry-3", rpc.State_ALIVE)
+	f.entries[2].awaitMemberState("entry-1", rpc.State_ALIVE)
 }
--- a/integration/partition_test.go
+++ b/integration/partition_test.go
@@ -10,8 +10,9 @@
 	"brasschute/internal/standin/platform"
 )
 
-// cell is one field of the partition table in docs/PARTITIONS.md.
-type cell struct {
+// partitionCase is a kind of request in the table of docs/PARTITIONS.md, with its expected
+// result.
+type partitionCase struct {
 	request string
 	send    func(d *daemon) *reply
 	served  bool
@@ -30,7 +31,7 @@
 	return d.do(http.MethodPost, "/services/dedup/x", "", "Idempotency-Key", "dedup-"+d.host)
 }
 
-// keyedCall uses a new key each time.
+// keyedCall returns a function that sends requests, each with a new idempotency key.
 func keyedCall(keys *int) func(*daemon) *reply {
 	return func(d *daemon) *reply {
 		*keys++
@@ -38,22 +39,22 @@
 	}
 }
 
+// TestPartitionTable cuts a zone off from the other zones, from the platform, or from both. Each
+// kind of request must be served or refused as docs/PARTITIONS.md says, with the true outcome,
+// and all must be served after the partition heals.
 func TestPartitionTable(t *testing.T) {
-	// A zone is cut off from the other zones, from the platform, or from both.
-	// Each kind of request must be served or refused as docs/PARTITIONS.md
-	// says, always with the true outcome; and after healing all are served.
 	f := newFleet(t)
 	for zone := 1; zone <= 2; zone++ {
 		f.addEngine(zone)
-		f.addPlain(zone)
+		f.addPlainService(zone)
 		f.addEntry(zone)
 	}
 	f.entries[0].mustApply(configuration(), 0)
-	f.ready()
+	f.awaitReady()
 	d := f.entries[1]
 	keys := 0
-	cells := func(keyed bool) []cell {
-		out := []cell{
+	cases := func(keyed bool) []partitionCase {
+		out := []partitionCase{
 			{"chat", chatCall, true, ""},
 			{"plain", plainCall, true, ""},
 			{"booking without key", bookingCall, true, ""},
@@ -62,43 +63,43 @@
 		}
 		return out
 	}
-	parts := []struct {
+	partitions := []struct {
 		name  string
 		cut   func(on bool)
 		keyed bool
 	}{
-		{"from the other zones", func(on bool) { f.part(2, on); f.partEndpoints(2, on) }, true},
-		{"from the platform", func(on bool) { f.proxy.Set(zoneNet(2), injector.Fault{Cut: on}) }, false},
-		{"from both", func(on bool) { f.isolate(2, on); f.partEndpoints(2, on) }, false},
+		{"from the other zones", func(on bool) { f.partition(2, on); f.partitionEndpoints(2, on) }, true},
+		{"from the platform", func(on bool) { f.platformProxy.Set(zoneNet(2), injector.Fault{Cut: on}) }, false},
+		{"from both", func(on bool) { f.isolate(2, on); f.partitionEndpoints(2, on) }, false},
 	}
-	for _, p := range parts {
-		for _, c := range cells(p.keyed) {
+	for _, p := range partitions {
+		for _, c := range cases(p.keyed) {
 			t.Run(p.name+"/"+c.request, func(t *testing.T) {
 				p.cut(true)
 				for range 5 {
-					check(t, c, c.send(d))
+					checkPartitionCase(t, c, c.send(d))
 				}
 				p.cut(false)
 				eventually(t, "healed", func() error {
-					return want("status", c.send(d).status, http.StatusOK)
+					return checkEqual("status", c.send(d).status, http.StatusOK)
 				})
 			})
 		}
 	}
 }
 
-// partEndpoints cuts a zone's daemons off from endpoints of other zones.
-func (f *fleet) partEndpoints(zone int, cut bool) {
-	for _, e := range append(f.engines, f.plains...) {
+// partitionEndpoints cuts a zone's daemons off from the endpoints of other zones, or removes
+// these cuts.
+func (f *fleet) partitionEndpoints(zone int, cut bool) {
+	for _, e := range append(f.engines, f.plainServices...) {
 		if e.zone != zone {
 			e.proxy.Set(zoneNet(zone), injector.Fault{Cut: cut})
 		}
 	}
 }
 
-// check compares an answer with the table. A request that met a cut
-// connection may also have an unknown outcome, never a wrong one.
-func check(t *testing.T, c cell, r *reply) {
+// checkPartitionCase compares an answer with the expected result.
+func checkPartitionCase(t *testing.T, c partitionCase, r *reply) {
 	t.Helper()
 	if c.served && r.status == http.StatusOK {
 		return
@@ -112,18 +113,19 @@
 	}
 }
 
+// TestPartitionHealsWithoutStampede counts the calls of the daemons to the platform during and
+// after an outage. Each daemon may make only a few, not one for each request or retry in the
+// meantime.
 func TestPartitionHealsWithoutStampede(t *testing.T) {
-	// The platform is away for a while and comes back. Each daemon must cost
-	// it a handful of calls, not one for each request or retry in between.
-	f := three(t)
-	f.faults(platform.Faults{Outage: true})
+	f := newThreeZoneFleet(t)
+	f.setFaults(platform.Faults{Outage: true})
 	for _, d := range f.entries {
 		eventually(t, d.host, func() error {
 			s, err := d.status()
 			if err != nil {
 				return err
 			}
-			return want("platform reachable", s.PlatformReachable, false)
+			return checkEqual("platform reachable", s.PlatformReachable, false)
 		})
 		for range 50 {
 			if r := plainCall(d); r.status != http.StatusOK {
@@ -132,19 +134,19 @@
 		}
 	}
 	var before, after platform.Calls
-	if err := f.get("http://"+f.admin+"/admin/calls", &before); err != nil {
+	if err := f.getJSON("http://"+f.platformAddress+"/admin/calls", &before); err != nil {
 		t.Fatal(err)
 	}
-	// Without pauses that grow, the daemons would call thousands of times.
+	// Without a growing backoff, the daemons would make thousands of calls.
 	if most := int64(100 * len(f.entries)); before.Refused > most {
 		t.Errorf("%d calls during the outage, at most %d expected", before.Refused, most)
 	}
-	f.faults(platform.Faults{})
+	f.setFaults(platform.Faults{})
 	f.entries[0].mustApply(configuration(ruleNamed("x")), 1)
 	for _, d := range f.entries {
-		d.inForce(2)
+		d.awaitConfiguration(2)
 	}
-	if err := f.get("http://"+f.admin+"/admin/calls", &after); err != nil {
+	if err := f.getJSON("http://"+f.platformAddress+"/admin/calls", &after); err != nil {
 		t.Fatal(err)
 	}
 	const perDaemon = 6
@@ -154,17 +156,17 @@
 	}
 }
 
-// state waits until a daemon believes a member to be in a state.
-func (d *daemon) believes(host string, state rpc.State) {
+// awaitMemberState waits until the daemon lists a member with a state.
+func (d *daemon) awaitMemberState(host string, state rpc.State) {
 	d.f.t.Helper()
-	eventually(d.f.t, fmt.Sprintf("%s believes %s %s", d.host, host, state), func() error {
+	eventually(d.f.t, fmt.Sprintf("%s lists %s as %s", d.host, host, state), func() error {
 		s, err := d.status()
 		if err != nil {
 			return err
 		}
 		for _, m := range s.Members {
 			if m.Host == host {
-				return want("state", m.State, state)
+				return checkEqual("state", m.State, state)
 			}
 		}
 		return fmt.Errorf("not listed")
--- a/integration/path_test.go
+++ b/integration/path_test.go
@@ -11,27 +11,27 @@
 	"brasschute/internal/standin/platform"
 )
 
-// small starts a platform, two engines, a plain service and one daemon.
-func small(t *testing.T) (*fleet, *daemon) {
+// newSmallFleet starts a platform, two engines, a plain service and one daemon.
+func newSmallFleet(t *testing.T) (*fleet, *daemon) {
 	t.Helper()
 	f := newFleet(t)
 	f.addEngine(1)
 	f.addEngine(1)
-	f.addPlain(1)
+	f.addPlainService(1)
 	d := f.addEntry(1)
 	d.mustApply(configuration(), 0)
-	f.ready()
+	f.awaitReady()
 	return f, d
 }
 
+// TestPathServesBothKinds sends a streamed model request and a plain request, and sends them
+// again after the platform has died. Both must be answered byte for byte as expected, since no
+// request waits for the platform.
 func TestPathServesBothKinds(t *testing.T) {
-	// A caller streams a letter and looks up a ledger through separate
-	// processes; then the platform dies. Both must still be answered, byte
-	// for byte, as no request waits for the platform.
-	f, d := small(t)
+	f, d := newSmallFleet(t)
 	check := func() {
 		t.Helper()
-		if err := d.open(12, "Request-Id", "letter").check(12); err != nil {
+		if err := d.open(12, "Request-Id", "letter").checkComplete(12); err != nil {
 			t.Fatal(err)
 		}
 		r := d.do(http.MethodPost, "/services/ledger/accounts/7?full=1", "lookup")
@@ -43,17 +43,17 @@
 	check()
 	var whole frame.Frame
 	r := d.do(http.MethodPost, "/v1/chat/completions", chat(5, false))
-	if err := json.Unmarshal([]byte(r.body), &whole); err != nil || whole.Choices[0].Message.Content != expected(5) {
+	if err := json.Unmarshal([]byte(r.body), &whole); err != nil || whole.Choices[0].Message.Content != expectedText(5) {
 		t.Fatalf("%v %q", err, r.body)
 	}
 	f.platform.kill()
 	check()
 }
 
+// TestPathCarriesTraceAndRequestID sends a request with a trace context and an id. The engine
+// must get the trace context, and the caller must get both back.
 func TestPathCarriesTraceAndRequestID(t *testing.T) {
-	// A caller traces its request through its own systems: the trace id must
-	// reach the engine and come back, and so must the request's own id.
-	f, d := small(t)
+	f, d := newSmallFleet(t)
 	const trace = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 	r := d.do(http.MethodPost, "/v1/chat/completions", chat(2, false), "Traceparent", trace, "Request-Id", "mine")
 	if r.status != http.StatusOK || r.header.Get("Traceparent") != trace || r.header.Get("Request-Id") != "mine" {
@@ -62,7 +62,7 @@
 	found := false
 	for _, e := range f.engines {
 		var traces map[string]string
-		if err := f.get("http://"+e.address+"/admin/traces", &traces); err != nil {
+		if err := f.getJSON("http://"+e.address+"/admin/traces", &traces); err != nil {
 			t.Fatal(err)
 		}
 		for id, got := range traces {
@@ -74,17 +74,17 @@
 	}
 }
 
+// TestPathRuleChangesNextDecision adds a rule that refuses requests for a service. The next
+// request must be refused by it, and its explanation must name the rule and the new
+// configuration.
 func TestPathRuleChangesNextDecision(t *testing.T) {
-	// An operator adds a rule that refuses a branch's letters; the next
-	// request must be refused by it, and the explanation must name the rule
-	// and the new configuration.
-	_, d := small(t)
+	_, d := newSmallFleet(t)
 	if r := d.do(http.MethodPost, "/v1/chat/completions", chat(2, false), "Request-Id", "before"); r.status != http.StatusOK {
 		t.Fatalf("before: %d %s", r.status, r.body)
 	}
 	d.mustApply(configuration(`{Name: no letters, When: 'Service == "letters"', Then: {Refuse: closed for maturity week, RetryAfter: 90s}}`), 1)
 	r := d.do(http.MethodPost, "/v1/chat/completions", chat(2, false), "Request-Id", "after")
-	if r.status != http.StatusForbidden || r.kind() != "refused-by-rule" || r.outcome() != "not-run" || r.header.Get("Retry-After") != "90" {
+	if r.status != http.StatusForbidden || r.problemType() != "refused-by-rule" || r.outcome() != "not-run" || r.header.Get("Retry-After") != "90" {
 		t.Fatalf("after: %d %s %s", r.status, r.header, r.body)
 	}
 	if rec := d.explain("before"); rec.Configuration != 1 || rec.Rule != "" || len(rec.Attempts) != 1 {
@@ -95,10 +95,10 @@
 	}
 }
 
+// TestPathRefusesBadInput sends invalid requests. Each must get the right refusal, no endpoint
+// may get any of them, and the daemon must continue to serve.
 func TestPathRefusesBadInput(t *testing.T) {
-	// Whatever a caller sends, it gets a clear refusal, the daemon goes on
-	// serving, and no endpoint sees anything.
-	f, d := small(t)
+	f, d := newSmallFleet(t)
 	chatPath := "/v1/chat/completions"
 	cases := []struct {
 		name    string
@@ -133,7 +133,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			r := d.do(c.method, c.path, c.body, c.headers...)
-			if r.status != c.status || r.kind() != c.kind || r.outcome() != "not-run" {
+			if r.status != c.status || r.problemType() != c.kind || r.outcome() != "not-run" {
 				t.Errorf("got %d %s, want %d %s", r.status, r.body, c.status, c.kind)
 			}
 			if got := r.header.Get("Content-Type"); got != "application/problem+json" {
@@ -141,25 +141,25 @@
 			}
 		})
 	}
-	for _, e := range append(f.engines, f.plains...) {
+	for _, e := range append(f.engines, f.plainServices...) {
 		if n := len(e.executions()); n != 0 {
 			t.Errorf("%s ran %d requests", e.name, n)
 		}
 	}
-	if err := d.open(3).check(3); err != nil {
+	if err := d.open(3).checkComplete(3); err != nil {
 		t.Error("after bad input: ", err)
 	}
 }
 
+// TestPathRefusesRawBadInput sends raw requests that are too slow, truncated, or repeat a header.
+// They must be refused without reaching an endpoint.
 func TestPathRefusesRawBadInput(t *testing.T) {
-	// Senders that break off, dawdle or repeat a header on the raw connection
-	// get a refusal too, and reach no endpoint.
 	f := newFleet(t)
 	f.addEngine(1)
-	f.addPlain(1)
+	f.addPlainService(1)
 	d := f.addEntry(1, "Limits: {BodyTimeout: 300ms, HeaderTimeout: 300ms}")
 	d.mustApply(configuration(), 0)
-	f.ready()
+	f.awaitReady()
 	head := "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer desk-key\r\n"
 	body := fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(chat(1, false)), chat(1, false))
 	cases := []struct{ name, text, status string }{
@@ -172,7 +172,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			got := rawExchange(t, d.callers, c.text)
+			got := rawExchange(t, d.callerAddress, c.text)
 			if c.status == "" && got == "" {
 				return
 			}
@@ -181,50 +181,50 @@
 			}
 		})
 	}
-	truncated(t, d.callers, head+"Content-Length: 50\r\n\r\n{\"model\":")
+	sendTruncated(t, d.callerAddress, head+"Content-Length: 50\r\n\r\n{\"model\":")
 	if n := len(f.engines[0].executions()); n != 0 {
 		t.Errorf("the engine ran %d requests", n)
 	}
-	if err := d.open(3).check(3); err != nil {
+	if err := d.open(3).checkComplete(3); err != nil {
 		t.Error("after bad input: ", err)
 	}
 }
 
+// TestPathControllerOrdersTheWantedModel starts an engine with another model than the
+// configuration wants. The controller must order the right one and audit the order with its
+// reason, and requests must then be served.
 func TestPathControllerOrdersTheWantedModel(t *testing.T) {
-	// An engine starts with another model than the configuration wants. The
-	// controller must order the wanted one, and the audit must say why; the
-	// letter is then served.
 	f := newFleet(t)
 	e := f.addEngine(1)
 	d := f.addEntry(1)
 	d.mustApply(strings.ReplaceAll(configuration(), "letters-1", "letters-2"), 0)
-	f.ready()
+	f.awaitReady()
 	if r := d.do(http.MethodPost, "/v1/chat/completions", chat(2, false)); r.status == http.StatusOK {
 		t.Fatal("served with the wrong model")
 	}
 	f.addController(1, "controller-1")
 	eventually(t, "order", func() error {
 		var orders []struct{ Model string }
-		if err := f.get("http://"+e.address+"/admin/orders", &orders); err != nil {
+		if err := f.getJSON("http://"+e.address+"/admin/orders", &orders); err != nil {
 			return err
 		}
 		if len(orders) == 0 {
 			return fmt.Errorf("no order yet")
 		}
-		return want("model", orders[0].Model, "letters-2")
+		return checkEqual("model", orders[0].Model, "letters-2")
 	})
 	eventually(t, "letter", func() error {
-		return want("status", d.do(http.MethodPost, "/v1/chat/completions", chat(2, false)).status, http.StatusOK)
+		return checkEqual("status", d.do(http.MethodPost, "/v1/chat/completions", chat(2, false)).status, http.StatusOK)
 	})
-	eventually(t, "audit", func() error { return audited(d, "load letters-2 on engine-1") })
+	eventually(t, "audit", func() error { return checkAudited(d, "load letters-2 on engine-1") })
 }
 
+// TestPathNeedsNoPlatformCall sends a hundred requests without a key. They must not cause a call
+// to the platform, which the whole fleet shares.
 func TestPathNeedsNoPlatformCall(t *testing.T) {
-	// The platform is shared by the fleet and counts each call. A hundred
-	// requests without key must not cost it one.
-	f, d := small(t)
+	f, d := newSmallFleet(t)
 	var before, after platform.Calls
-	if err := f.get("http://"+f.admin+"/admin/calls", &before); err != nil {
+	if err := f.getJSON("http://"+f.platformAddress+"/admin/calls", &before); err != nil {
 		t.Fatal(err)
 	}
 	for range 100 {
@@ -232,7 +232,7 @@
 			t.Fatalf("%d %s", r.status, r.body)
 		}
 	}
-	if err := f.get("http://"+f.admin+"/admin/calls", &after); err != nil {
+	if err := f.getJSON("http://"+f.platformAddress+"/admin/calls", &after); err != nil {
 		t.Fatal(err)
 	}
 	if after.Reads != before.Reads || after.Writes != before.Writes {
--- a/integration/raw_test.go
+++ b/integration/raw_test.go
@@ -15,7 +15,8 @@
 	"github.com/twitchtv/twirp"
 )
 
-// rawExchange sends text and returns what comes back until the end.
+// rawExchange sends text over a new connection and returns the first 12 bytes of the response,
+// which hold its status.
 func rawExchange(t *testing.T, address, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -23,18 +24,18 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	_ = c.SetDeadline(time.Now().Add(patience))
+	_ = c.SetDeadline(time.Now().Add(waitTimeout))
 	if _, err := io.WriteString(c, text); err != nil {
 		t.Fatal(err)
 	}
-	const enough = 12
-	got := make([]byte, enough)
+	const statusLength = 12 // "HTTP/1.1 400"
+	got := make([]byte, statusLength)
 	n, _ := io.ReadFull(c, got)
 	return string(got[:n])
 }
 
-// truncated sends text and breaks off.
-func truncated(t *testing.T, address, text string) {
+// sendTruncated sends text over a new connection and closes it without reading the response.
+func sendTruncated(t *testing.T, address, text string) {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -46,8 +47,8 @@
 	c.Close()
 }
 
-// audited looks for a step in the trail.
-func audited(d *daemon, what string) error {
+// checkAudited returns an error unless the audit trail has an entry for the step what.
+func checkAudited(d *daemon, what string) error {
 	reply, err := d.operator().Audit(context.Background(), &rpc.AuditRequest{})
 	if err != nil {
 		return err
@@ -60,10 +61,10 @@
 	return fmt.Errorf("%q is not among %d entries", what, len(reply.Entries))
 }
 
-// containsText tells whether a JSON body holds a text, unescaped.
+// containsText reports whether body contains text.
 func containsText(body, text string) bool { return strings.Contains(body, text) }
 
-// twirpError returns the remote error inside err, nil if there is none.
+// twirpError returns the Twirp error that err wraps, or nil if there is none.
 func twirpError(err error) twirp.Error {
 	var e twirp.Error
 	if !errors.As(err, &e) {
--- a/integration/reclaim_test.go
+++ b/integration/reclaim_test.go
@@ -13,38 +13,42 @@
 )
 
 const (
+	// letterTokens is the length of a streamed answer.
 	letterTokens = 40
-	gateAt       = 10
+	// gateTokens is the number of tokens after which engines stop each stream.
+	gateTokens = 10
 )
 
-// gated starts engines that stop at gateAt, and daemons in two zones.
-func gated(t *testing.T, engines int) *fleet {
+// newGatedFleet starts engines that stop each stream after gateTokens, a plain service, and three
+// daemons in two zones.
+func newGatedFleet(t *testing.T, engines int) *fleet {
 	t.Helper()
 	f := newFleet(t)
 	for i := range engines {
 		f.addEngine(1 + i%2)
 	}
-	f.addPlain(1)
+	f.addPlainService(1)
 	f.addEntry(1)
 	f.addEntry(2)
 	f.addEntry(2)
 	f.entries[0].mustApply(configuration(), 0)
-	f.ready()
-	f.gateAll(gateAt)
+	f.awaitReady()
+	f.setAllGates(gateTokens)
 	return f
 }
 
-func (f *fleet) gateAll(tokens int) {
+// setAllGates sets the gate of all engines.
+func (f *fleet) setAllGates(tokens int) {
 	for _, e := range f.engines {
-		e.gate(tokens)
+		e.setGate(tokens)
 	}
 }
 
-// holding returns the engine that runs the request "letter".
-func (f *fleet) holding() *endpoint {
+// letterEngine returns the engine that runs the request with the id "letter".
+func (f *fleet) letterEngine() *endpoint {
 	f.t.Helper()
 	for _, e := range f.engines {
-		if total("letter", e) > 0 {
+		if executionCount("letter", e) > 0 {
 			return e
 		}
 	}
@@ -52,39 +56,39 @@
 	return nil
 }
 
-// middle waits until a stream stands at the gate.
-func middle(t *testing.T, s *stream) {
+// awaitGate waits until a stream has reached the gate.
+func awaitGate(t *testing.T, s *stream) {
 	t.Helper()
-	eventually(t, "mid-stream", func() error { return s.received(gateAt) })
+	eventually(t, "mid-stream", func() error { return s.checkReceived(gateTokens) })
 }
 
+// TestReclaimOfEngineMidStream reclaims the host of an engine in the middle of a stream. The
+// caller must get the whole text with each token once. The cached part of the prompt must not be
+// computed again, since the other engine imports its blocks.
 func TestReclaimOfEngineMidStream(t *testing.T) {
-	// The host of an engine is reclaimed while a letter is being written.
-	// The caller must get each token once and the whole letter, and the
-	// prompt must not be computed again, as its cache is imported.
-	f := gated(t, 2)
+	f := newGatedFleet(t, 2)
 	s := f.entries[0].open(letterTokens, "Request-Id", "letter")
-	middle(t, s)
-	first := f.holding()
-	f.gateAllBut(first, 0)
-	f.announce(first.name+"-host", first.zone, time.Now().Add(2*time.Second))
-	if err := s.check(letterTokens); err != nil {
+	awaitGate(t, s)
+	first := f.letterEngine()
+	f.setGatesExcept(first, 0)
+	f.sendReclaimNotice(first.name+"-host", first.zone, time.Now().Add(2*time.Second))
+	if err := s.checkComplete(letterTokens); err != nil {
 		t.Fatal(err)
 	}
 	rec := f.entries[0].explain("letter")
-	if len(rec.Attempts) != 2 || rec.Attempts[1].Resumed != gateAt || rec.Attempts[0].Outcome != "the engine's host is leaving" {
+	if len(rec.Attempts) != 2 || rec.Attempts[1].Resumed != gateTokens || rec.Attempts[0].Outcome != "the engine's host is leaving" {
 		t.Fatalf("attempts: %+v", rec.Attempts)
 	}
-	// The question is shorter than a cache block, so all of it is computed
-	// again with the ten tokens delivered; nothing else.
-	if most := 17 + gateAt; int(rec.RecomputedTokens) > most {
+	// The prompt (at most 17 tokens) is shorter than a cache block, so all of it is computed again,
+	// with the ten tokens delivered; nothing else may be.
+	if most := 17 + gateTokens; int(rec.RecomputedTokens) > most {
 		t.Fatalf("recomputed %d tokens, at most %d expected", rec.RecomputedTokens, most)
 	}
 }
 
+// TestReclaimFaultsOfAnEngine lets an engine fail in several ways in the middle of a stream. The
+// caller must get the whole text with each token once, from another engine or the same.
 func TestReclaimFaultsOfAnEngine(t *testing.T) {
-	// Whatever an engine does to a stream half-way, the caller must see the
-	// whole letter with each token once, from another engine or the same.
 	cases := []struct {
 		name  string
 		fault func(f *fleet, e *endpoint)
@@ -94,12 +98,12 @@
 		{"connection reset once", func(_ *fleet, e *endpoint) {
 			e.proxy.Set(injector.All, injector.Fault{Cut: true})
 			e.proxy.Set(injector.All, injector.Fault{})
-			e.gate(0)
+			e.setGate(0)
 		}},
 		{"frozen", func(_ *fleet, e *endpoint) { e.signal(syscall.SIGSTOP) }},
-		{"ends without end mark", func(_ *fleet, e *endpoint) { e.behave(engine.Behaviour{EndAt: gateAt + 1}) }},
-		{"sends another stream's frame", func(_ *fleet, e *endpoint) { e.behave(engine.Behaviour{CrossAt: gateAt + 1}) }},
-		{"sends a frame twice", func(_ *fleet, e *endpoint) { e.behave(engine.Behaviour{DuplicateAt: gateAt + 1}) }},
+		{"ends without end mark", func(_ *fleet, e *endpoint) { e.setBehaviour(engine.Behaviour{EndAt: gateTokens + 1}) }},
+		{"sends another stream's frame", func(_ *fleet, e *endpoint) { e.setBehaviour(engine.Behaviour{CrossAt: gateTokens + 1}) }},
+		{"sends a frame twice", func(_ *fleet, e *endpoint) { e.setBehaviour(engine.Behaviour{DuplicateAt: gateTokens + 1}) }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -108,38 +112,38 @@
 			f.addEngine(1)
 			d := f.addEntry(1, "Engine: {Stall: 1s, FirstStall: 2s}")
 			d.mustApply(configuration(), 0)
-			f.ready()
-			f.gateAll(gateAt)
+			f.awaitReady()
+			f.setAllGates(gateTokens)
 			s := d.open(letterTokens, "Request-Id", "letter")
-			middle(t, s)
-			first := f.holding()
+			awaitGate(t, s)
+			first := f.letterEngine()
 			for _, e := range f.engines {
 				if e != first {
-					e.gate(0)
+					e.setGate(0)
 				}
 			}
 			c.fault(f, first)
-			if err := s.check(letterTokens); err != nil {
+			if err := s.checkComplete(letterTokens); err != nil {
 				t.Fatal(err)
 			}
 		})
 	}
 }
 
+// TestReclaimWaitsForAnEngine makes all engines unreachable in the middle of a stream, as when
+// replacements are refused or a switch is down. The request was accepted and its deadline is far:
+// the stream must continue as soon as an engine is back.
 func TestReclaimWaitsForAnEngine(t *testing.T) {
-	// In mid-stream the engine dies, and for a while no other one can be
-	// reached: replacements are refused, or a switch is down. The letter was
-	// accepted and its deadline is far: it must go on when an engine is back.
-	f := gated(t, 2)
+	f := newGatedFleet(t, 2)
 	d := f.entries[0]
 	s := d.open(letterTokens, "Request-Id", "letter")
-	middle(t, s)
-	first := f.holding()
+	awaitGate(t, s)
+	first := f.letterEngine()
 	for _, e := range f.engines {
 		e.proxy.Set(injector.All, injector.Fault{Cut: true})
 	}
 	for _, e := range f.engines {
-		eventually(t, e.name+" given up", func() error {
+		eventually(t, e.name+" out of use", func() error {
 			if state := d.endpointState(e.name); state != "ejected" && state != "failing" {
 				return fmt.Errorf("%s", state)
 			}
@@ -148,189 +152,191 @@
 	}
 	for _, e := range f.engines {
 		if e != first {
-			e.gate(0)
+			e.setGate(0)
 			e.proxy.Set(injector.All, injector.Fault{})
 		}
 	}
-	if err := s.check(letterTokens); err != nil {
+	if err := s.checkComplete(letterTokens); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// TestReclaimOfEntryMidStream reclaims the host of a daemon in the middle of a stream. The daemon
+// must hand the stream over to peers and tell the caller, who resumes at any other daemon with
+// the last event id and gets the rest, each token once.
 func TestReclaimOfEntryMidStream(t *testing.T) {
-	// The entry host is reclaimed in mid-stream. Its daemon hands the stream
-	// to peers and tells the caller, who comes back to any other daemon with
-	// the last event id and gets the rest, each token once.
-	f := gated(t, 1)
+	f := newGatedFleet(t, 1)
 	s := f.entries[0].open(letterTokens, "Request-Id", "letter")
-	middle(t, s)
-	f.announce("entry-1", 1, time.Now().Add(4*time.Second))
+	awaitGate(t, s)
+	f.sendReclaimNotice("entry-1", 1, time.Now().Add(4*time.Second))
 	s.wait()
-	if !s.moved {
+	if !s.moveAnnounced {
 		t.Fatalf("not told to move: %q", s.body)
 	}
-	f.entries[0].stopped()
-	f.gateAll(0)
-	s.follow(f.entries[2], letterTokens, "Last-Event-ID", s.lastEventID())
-	if err := s.check(letterTokens); err != nil {
+	f.entries[0].awaitExit()
+	f.setAllGates(0)
+	s.send(f.entries[2], letterTokens, "Last-Event-ID", s.lastEventID())
+	if err := s.checkComplete(letterTokens); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// TestReclaimOfEntryAndEngineTogether ends both the daemon and the engine of a stream, so that no
+// process that handled it is left. The state handed over to a peer must suffice to complete it.
 func TestReclaimOfEntryAndEngineTogether(t *testing.T) {
-	// Entry host and engine host go together: no process that saw the stream
-	// is left. The state handed to a peer must suffice to finish it.
-	f := gated(t, 2)
+	f := newGatedFleet(t, 2)
 	s := f.entries[0].open(letterTokens, "Request-Id", "letter")
-	middle(t, s)
-	first := f.holding()
-	f.announce("entry-1", 1, time.Now().Add(4*time.Second))
+	awaitGate(t, s)
+	first := f.letterEngine()
+	f.sendReclaimNotice("entry-1", 1, time.Now().Add(4*time.Second))
 	s.wait()
 	first.kill()
-	f.entries[0].stopped()
-	f.gateAllBut(first, 0)
-	s.follow(f.entries[1], letterTokens, "Last-Event-ID", s.lastEventID())
-	if err := s.check(letterTokens); err != nil {
+	f.entries[0].awaitExit()
+	f.setGatesExcept(first, 0)
+	s.send(f.entries[1], letterTokens, "Last-Event-ID", s.lastEventID())
+	if err := s.checkComplete(letterTokens); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (f *fleet) gateAllBut(dead *endpoint, tokens int) {
+// setGatesExcept sets the gate of all engines except one that has ended.
+func (f *fleet) setGatesExcept(dead *endpoint, tokens int) {
 	for _, e := range f.engines {
 		if e != dead {
-			e.gate(tokens)
+			e.setGate(tokens)
 		}
 	}
 }
 
+// TestReclaimOfAZone reclaims a whole zone at once: its engine, its daemon, and the streams on
+// both. Streams at daemons of the other zone must continue on the same connection, those of the
+// zone's daemon after a resume in the other zone.
 func TestReclaimOfAZone(t *testing.T) {
-	// A whole zone is reclaimed at once: its engine, its entry hosts, and the
-	// streams on both. Streams that entered elsewhere never notice; those of
-	// the zone's daemons go on in the other zone.
-	f := gated(t, 2)
+	f := newGatedFleet(t, 2)
 	var streams []*stream
 	for i := range 8 {
 		streams = append(streams, f.entries[i%2].open(letterTokens, "Request-Id", fmt.Sprintf("letter-%d", i)))
 	}
 	for _, s := range streams {
-		middle(t, s)
+		awaitGate(t, s)
 	}
 	deadline := time.Now().Add(4 * time.Second)
-	f.announce("entry-1", 1, deadline)
-	f.announce("engine-1-host", 1, deadline)
+	f.sendReclaimNotice("entry-1", 1, deadline)
+	f.sendReclaimNotice("engine-1-host", 1, deadline)
 	for i := 0; i < len(streams); i += 2 {
 		streams[i].wait()
 	}
 	f.engines[0].kill()
-	f.entries[0].stopped()
-	f.engines[1].gate(0)
+	f.entries[0].awaitExit()
+	f.engines[1].setGate(0)
 	for i, s := range streams {
 		if i%2 == 0 {
-			s.follow(f.entries[2], letterTokens, "Last-Event-ID", s.lastEventID())
+			s.send(f.entries[2], letterTokens, "Last-Event-ID", s.lastEventID())
 		}
-		if err := s.check(letterTokens); err != nil {
+		if err := s.checkComplete(letterTokens); err != nil {
 			t.Fatalf("stream %d: %v", i, err)
 		}
 	}
 }
 
+// TestReclaimDaemonDiesInMidReclaim kills a daemon before it can hand its stream over. The engine
+// keeps the stream for a while, and the resume token alone must lead another daemon to it.
 func TestReclaimDaemonDiesInMidReclaim(t *testing.T) {
-	// The daemon is killed before it could hand over. The engine still holds
-	// the stream for a while, and the token alone leads another daemon there.
-	f := gated(t, 1)
+	f := newGatedFleet(t, 1)
 	s := f.entries[0].open(letterTokens, "Request-Id", "letter")
-	middle(t, s)
-	f.announce("entry-1", 1, time.Now().Add(time.Minute))
+	awaitGate(t, s)
+	f.sendReclaimNotice("entry-1", 1, time.Now().Add(time.Minute))
 	f.entries[0].kill()
 	s.wait()
-	f.gateAll(0)
-	s.follow(f.entries[1], letterTokens, "Last-Event-ID", s.lastEventID())
-	if err := s.check(letterTokens); err != nil {
+	f.setAllGates(0)
+	s.send(f.entries[1], letterTokens, "Last-Event-ID", s.lastEventID())
+	if err := s.checkComplete(letterTokens); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// TestReclaimWithoutStreaming reclaims the host of a daemon while a caller waits for a JSON
+// answer. The caller must be redirected to a path at which it gets the answer from any daemon,
+// and no other organisation gets it.
 func TestReclaimWithoutStreaming(t *testing.T) {
-	// A caller waits for one JSON answer when the entry host is reclaimed.
-	// It is redirected to where the answer is to be had, at any daemon.
-	f := gated(t, 1)
+	f := newGatedFleet(t, 1)
 	d := f.entries[0]
 	first := background(func() *reply {
 		return d.do(http.MethodPost, "/v1/chat/completions", chat(letterTokens, false), "Request-Id", "letter")
 	})
-	eventually(t, "running", func() error { return want("executions", total("letter", f.engines...), 1) })
-	f.announce("entry-1", 1, time.Now().Add(4*time.Second))
+	eventually(t, "running", func() error { return checkEqual("executions", executionCount("letter", f.engines...), 1) })
+	f.sendReclaimNotice("entry-1", 1, time.Now().Add(4*time.Second))
 	r := first()
 	if r.status != http.StatusSeeOther {
 		t.Fatalf("%d %s %v", r.status, r.body, r.err)
 	}
-	d.stopped()
-	f.gateAll(0)
+	d.awaitExit()
+	f.setAllGates(0)
 	path := r.header.Get("Location")
 	if r := f.entries[2].do(http.MethodGet, path, "", "Authorization", "Bearer "+callerKeys["branch"]); r.status != http.StatusForbidden {
 		t.Fatalf("another organisation: %d %s", r.status, r.body)
 	}
 	r = f.entries[2].do(http.MethodGet, path, "")
-	if r.status != http.StatusOK || !containsText(r.body, expected(letterTokens)) {
+	if r.status != http.StatusOK || !containsText(r.body, expectedText(letterTokens)) {
 		t.Fatalf("%d %s", r.status, r.body)
 	}
 }
 
+// TestReclaimTokenOfAnotherOrganisation presents a resume token with the key of another
+// organisation, as if it were stolen. It must be refused.
 func TestReclaimTokenOfAnotherOrganisation(t *testing.T) {
-	// A resume token is stolen and presented by another organisation. It must
-	// open nothing.
-	f := gated(t, 1)
+	f := newGatedFleet(t, 1)
 	s := f.entries[0].open(letterTokens)
-	middle(t, s)
+	awaitGate(t, s)
 	r := f.entries[1].do(http.MethodPost, "/v1/chat/completions", chat(letterTokens, true),
 		"Last-Event-ID", s.lastEventID(), "Authorization", "Bearer "+callerKeys["branch"])
-	if r.status != http.StatusForbidden || r.kind() != "resume-refused" {
+	if r.status != http.StatusForbidden || r.problemType() != "resume-refused" {
 		t.Fatalf("%d %s", r.status, r.body)
 	}
-	f.gateAll(0)
-	if err := s.check(letterTokens); err != nil {
+	f.setAllGates(0)
+	if err := s.checkComplete(letterTokens); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// TestReclaimCancelFreesTheEngine lets a caller disconnect in the middle of a stream. The engine
+// must stop working on it, or its slots stay taken by answers that nobody reads.
 func TestReclaimCancelFreesTheEngine(t *testing.T) {
-	// The caller hangs up in mid-stream. The engine must stop working for it,
-	// or slots stay taken by answers that nobody reads.
-	f := gated(t, 1)
+	f := newGatedFleet(t, 1)
 	s := f.entries[0].open(letterTokens, "Request-Id", "letter")
-	middle(t, s)
-	if n := f.engines[0].running(); n != 1 {
+	awaitGate(t, s)
+	if n := f.engines[0].runningStreams(); n != 1 {
 		t.Fatalf("%d streams run", n)
 	}
 	s.cancel()
-	eventually(t, "engine freed", func() error { return want("running", f.engines[0].running(), 0) })
-	// The caller lost its connection rather than its interest: the state that
-	// its daemon kept lets it go on all the same.
-	f.gateAll(0)
+	eventually(t, "engine freed", func() error { return checkEqual("running", f.engines[0].runningStreams(), 0) })
+	// A caller that lost its connection by accident can resume from the state that its daemon has
+	// kept.
+	f.setAllGates(0)
 	s.wait()
-	s.follow(f.entries[1], letterTokens, "Last-Event-ID", s.lastEventID())
-	if err := s.check(letterTokens); err != nil {
+	s.send(f.entries[1], letterTokens, "Last-Event-ID", s.lastEventID())
+	if err := s.checkComplete(letterTokens); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// TestReclaimLeavingEndpointGetsNoNewWork lets only one daemon learn from the platform that an
+// engine's host is leaving. After a few gossip exchanges no daemon may send a new request there,
+// whether it is new, retried, resumed, or was routed before the notice.
 func TestReclaimLeavingEndpointGetsNoNewWork(t *testing.T) {
-	// One daemon alone learns that an engine's host is leaving; the host list
-	// lags. Within a few exchanges no daemon may send new work there, by
-	// whatever way: fresh, retried, resumed, or chosen before the notice.
-	f := gated(t, 2)
-	f.gateAll(0)
+	f := newGatedFleet(t, 2)
+	f.setAllGates(0)
 	leaving := f.engines[0]
-	// Zones 2 and 3 do not hear the platform any more.
-	f.proxy.Set(zoneNet(2), injector.Fault{Cut: true})
-	f.announce(leaving.name+"-host", leaving.zone, time.Now().Add(time.Minute))
+	// The daemons of zone 2 no longer get the platform's changes.
+	f.platformProxy.Set(zoneNet(2), injector.Fault{Cut: true})
+	f.sendReclaimNotice(leaving.name+"-host", leaving.zone, time.Now().Add(time.Minute))
 	for _, d := range f.entries {
-		eventually(t, d.host, func() error { return want("state", d.endpointState(leaving.name), "leaving") })
+		eventually(t, d.host, func() error { return checkEqual("state", d.endpointState(leaving.name), "leaving") })
 	}
 	before := len(leaving.executions())
 	for i := range 30 {
 		d := f.entries[i%3]
-		if err := d.open(3).check(3); err != nil {
+		if err := d.open(3).checkComplete(3); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -339,7 +345,7 @@
 	}
 }
 
-// endpointState returns what a daemon believes of an endpoint.
+// endpointState returns the state of an endpoint as the daemon lists it.
 func (d *daemon) endpointState(name string) string {
 	s, err := d.status()
 	if err != nil {
@@ -353,25 +359,25 @@
 	return "not listed"
 }
 
+// TestReclaimWhileACallWaits delays the claim of a request with a key at a slow platform until an
+// endpoint begins to leave. The request must not be sent there any more, although the endpoint
+// was in use when the request was accepted.
 func TestReclaimWhileACallWaits(t *testing.T) {
-	// A keyed call waits for a slow platform. In the meantime an endpoint
-	// begins to leave. The call must not be sent there any more, though it was
-	// accepted while the endpoint was still in use.
 	f := newFleet(t)
-	f.addPlain(1)
-	f.addPlain(1)
+	f.addPlainService(1)
+	f.addPlainService(1)
 	d := f.addEntry(1)
 	d.mustApply(configuration(), 0)
-	f.ready()
-	f.proxy.Set(injector.All, injector.Fault{Freeze: true})
+	f.awaitReady()
+	f.platformProxy.Set(injector.All, injector.Fault{Freeze: true})
 	r := background(func() *reply { return d.confirm("k", "bond") })
-	f.plains[0].behave(plain.Behaviour{Leaving: true})
-	eventually(t, "leaving seen", func() error { return want("state", d.endpointState("ledger-1"), "leaving") })
-	f.proxy.Set(injector.All, injector.Fault{})
+	f.plainServices[0].setBehaviour(plain.Behaviour{Leaving: true})
+	eventually(t, "leaving seen", func() error { return checkEqual("state", d.endpointState("ledger-1"), "leaving") })
+	f.platformProxy.Set(injector.All, injector.Fault{})
 	if got := r(); got.status != http.StatusOK && got.outcome() != "not-run" {
 		t.Fatalf("%d %s", got.status, got.body)
 	}
-	if n := total("k", f.plains[0]); n != 0 {
+	if n := executionCount("k", f.plainServices[0]); n != 0 {
 		t.Fatalf("the leaving endpoint ran it %d times", n)
 	}
 }
--- a/integration/soak_test.go
+++ b/integration/soak_test.go
@@ -18,22 +18,23 @@
 	"brasschute/internal/standin/hosting"
 )
 
-// The soak runs real daemons against the stand-ins and hurts them from outside:
-// signals, a store that misbehaves, engines that fail in every way, and proxies
-// that cut, freeze, delay and reset connections. Series of faults overlap. What
-// clients, engines and the cloud see is checked against the promises throughout.
+// The soak test runs daemon processes against the stand-ins and injects faults from outside:
+// signals, a store that fails, engines that fail in every way, and proxies that cut, freeze or
+// delay connections, lose answers, or drop connections half-way. Faults of different kinds
+// overlap. What clients, engines and the cloud see is checked against the promises of the system.
 //
 //	go test ./integration -run TestSoak -soak.seeds 50 -soak.first 1 -soak.length 8s -timeout 60m
 var (
 	soakSeeds  = flag.Int("soak.seeds", 2, "number of seeds to run")
 	soakFirst  = flag.Uint64("soak.first", 1, "the first seed")
-	soakLength = flag.Duration("soak.length", 4*time.Second, "how long faults strike for one seed")
+	soakLength = flag.Duration("soak.length", 4*time.Second, "how long faults are injected for one seed")
 	soakHosts  = flag.Int("soak.hosts", 3, "daemons of one fleet")
 )
 
-// failedSeeds are seeds that failed once, each with its cause.
+// failedSeeds are seeds that have failed, each with its cause. They always run first.
 var failedSeeds = []uint64{}
 
+// TestSoak runs the soak test once for each seed.
 func TestSoak(t *testing.T) {
 	seeds := append([]uint64(nil), failedSeeds...)
 	for n := range *soakSeeds {
@@ -44,36 +45,38 @@
 	}
 }
 
-// soak is one fleet under faults.
+// soak is a hosted deployment under faults, with its clients.
 type soak struct {
 	*site
-	r    *rand.Rand
-	fail func(format string, args ...any)
+	r      *rand.Rand
+	errorf func(format string, args ...any)
 
-	mu      sync.Mutex
-	answers map[string]soakAnswer
-	proxies []*injector.Injector
-	// proxyOf is each engine's address for the daemons.
-	proxyOf map[string]string
-	sent    int
-	served  int
+	mu            sync.Mutex
+	answers       map[string]soakAnswer
+	engineProxies []*injector.Injector
+	// proxyAddresses holds the address of each engine's proxy, by engine id.
+	proxyAddresses map[string]string
+	sent           int
+	served         int
 }
 
-// soakAnswer is what a client was told of a request.
+// soakAnswer is the kind of a request and the status that its client got.
 type soakAnswer struct {
 	kind   string
 	status int
 }
 
-// behaviours are those of engines; most requests are served.
-var behaviours = []hosting.Behaviour{
+// engineFaults are the behaviours that engines show for one request in six; they serve all
+// others.
+var engineFaults = []hosting.Behaviour{
 	hosting.Refuse, hosting.Misdirect, hosting.Fail, hosting.CloseUnanswered, hosting.TruncateAnswer, hosting.AnswerTwice, hosting.OmitSignature,
 	hosting.EncodeUnasked, hosting.OmitLength, hosting.AnswerWrongRequest, hosting.HoldUntilRelease,
 }
 
+// runSoak runs clients and faults for one seed, waits for recovery, and checks the results.
 func runSoak(t *testing.T, seed uint64) {
-	s := &soak{site: newSite(t), r: rand.New(rand.NewPCG(seed, 0)), answers: make(map[string]soakAnswer), proxyOf: make(map[string]string)}
-	s.fail = func(format string, args ...any) { t.Errorf("seed %d: "+format, append([]any{seed}, args...)...) }
+	s := &soak{site: newSite(t), r: rand.New(rand.NewPCG(seed, 0)), answers: make(map[string]soakAnswer), proxyAddresses: make(map[string]string)}
+	s.errorf = func(format string, args ...any) { t.Errorf("seed %d: "+format, append([]any{seed}, args...)...) }
 	s.duties = `["usage"]`
 	for n, c := range []hosting.Config{
 		{ID: "i-lm-1", Service: modelService, StreamLength: 12, StartedUnixMilli: 1000},
@@ -81,17 +84,17 @@
 		{ID: "i-app-1", Service: plainService, StartedUnixMilli: 1000},
 		{ID: "i-app-2", Service: plainService},
 	} {
-		s.proxied(c, seed*10+uint64(n))
+		s.addProxiedEngine(c, seed*10+uint64(n))
 	}
 	for range *soakHosts {
-		s.host()
+		s.addReadyHost()
 	}
 	stop := make(chan struct{})
 	var clients, faults sync.WaitGroup
 	for n := range 2 * *soakHosts {
-		clients.Go(func() { s.client(rand.New(rand.NewPCG(seed, uint64(n+1))), n, stop) })
+		clients.Go(func() { s.runClient(rand.New(rand.NewPCG(seed, uint64(n+1))), n, stop) })
 	}
-	for n, f := range []func(*rand.Rand){s.hurtHosts, s.hurtStore, s.hurtLinks, s.change, s.hurtEngines} {
+	for n, f := range []func(*rand.Rand){s.injectHostFault, s.injectStoreFault, s.injectLinkFault, s.changeConfiguration, s.injectEngineFault} {
 		faults.Go(func() {
 			r := rand.New(rand.NewPCG(seed, uint64(100+n)))
 			for end := time.Now().Add(*soakLength); time.Now().Before(end); {
@@ -101,15 +104,15 @@
 	}
 	faults.Wait()
 	s.store.SetFault(nil)
-	s.recover()
+	s.awaitRecovery()
 	close(stop)
 	clients.Wait()
-	s.check()
+	s.checkResults()
 }
 
-// proxied starts an engine behind a proxy, which is its address for the daemons.
-func (s *soak) proxied(c hosting.Config, seed uint64) {
-	e := s.engine(c)
+// addProxiedEngine starts an engine behind a proxy and lists it with the address of the proxy.
+func (s *soak) addProxiedEngine(c hosting.Config, seed uint64) {
+	e := s.addEngine(c)
 	record := e.Record("ready")
 	target, _ := record["Address"].(string)
 	p, err := injector.New(injector.Config{Listen: "127.0.0.1:0", Target: target})
@@ -117,9 +120,9 @@
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(p.Close)
-	s.proxies = append(s.proxies, p)
-	s.proxyOf[c.ID] = p.Address()
-	s.list(c.ID, "ready")
+	s.engineProxies = append(s.engineProxies, p)
+	s.proxyAddresses[c.ID] = p.Address()
+	s.writeRecord(c.ID, "ready")
 	r, mu := rand.New(rand.NewPCG(seed, 1)), new(sync.Mutex)
 	e.SetBehaviour(func(*http.Request) hosting.Behaviour {
 		mu.Lock()
@@ -127,19 +130,19 @@
 		if r.IntN(6) > 0 {
 			return hosting.Serve
 		}
-		return behaviours[r.IntN(len(behaviours))]
+		return engineFaults[r.IntN(len(engineFaults))]
 	})
 }
 
-// list writes an engine's record.
-func (s *soak) list(id, state string) {
+// writeRecord writes an engine's record with a state and the address of its proxy to the store.
+func (s *soak) writeRecord(id, state string) {
 	record := s.engines[id].Record(state)
-	record["Address"] = s.proxyOf[id]
+	record["Address"] = s.proxyAddresses[id]
 	s.store.Write("servers", id, record)
 }
 
-// spoilt are records that no engine writes.
-var spoilt = []any{
+// invalidRecords are records that no engine writes.
+var invalidRecords = []any{
 	nil, "gone", 7,
 	[]int{1},
 	map[string]any{},
@@ -148,34 +151,34 @@
 	map[string]any{"Service": plainService, "Address": "127.0.0.1:1", "Zone": "hall-a", "State": "resting"},
 }
 
-// hurtEngines starts an engine again under its id, or spoils a record.
-func (s *soak) hurtEngines(r *rand.Rand) {
+// injectEngineFault restarts an engine under its id, or replaces a record by an invalid one.
+func (s *soak) injectEngineFault(r *rand.Rand) {
 	ids := []string{"i-lm-1", "i-lm-2", "i-app-1", "i-app-2"}
 	id := ids[r.IntN(len(ids))]
 	pause := time.Duration(r.IntN(400)) * time.Millisecond
 	switch r.IntN(4) {
 	case 0:
-		s.list(id, "draining")
+		s.writeRecord(id, "draining")
 		time.Sleep(pause)
 		s.engines[id].Restart()
 	case 1:
 		s.engines[id].Restart()
 		time.Sleep(pause)
 	case 2:
-		s.store.Write("servers", id, spoilt[r.IntN(len(spoilt))])
+		s.store.Write("servers", id, invalidRecords[r.IntN(len(invalidRecords))])
 		time.Sleep(pause)
 	case 3:
-		s.store.Write("servers", "i-foreign", spoilt[r.IntN(len(spoilt))])
+		s.store.Write("servers", "i-foreign", invalidRecords[r.IntN(len(invalidRecords))])
 		time.Sleep(pause)
 		s.store.Remove("servers", "i-foreign")
 	}
-	s.list(id, "ready")
+	s.writeRecord(id, "ready")
 	time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 }
 
-// client sends requests one after the other, over a kept connection while it
-// lasts, until the soak ends.
-func (s *soak) client(r *rand.Rand, n int, stop <-chan struct{}) {
+// runClient sends requests one after the other until stop is closed, over one connection as long
+// as it can be used.
+func (s *soak) runClient(r *rand.Rand, n int, stop <-chan struct{}) {
 	var conn net.Conn
 	for i := 0; ; i++ {
 		select {
@@ -186,7 +189,7 @@
 			return
 		default:
 		}
-		kind := []string{streamPath, onceTarget, againPath}[r.IntN(3)]
+		kind := []string{streamingPath, nonIdempotentPath, idempotentPath}[r.IntN(3)]
 		id := fmt.Sprintf("c%d-%d", n, i)
 		if conn == nil {
 			h := s.hosts[r.IntN(len(s.hosts))]
@@ -197,20 +200,20 @@
 			}
 			conn = c
 		}
-		if !s.request(conn, kind, id) {
+		if !s.sendRequest(conn, kind, id) {
 			_ = conn.Close()
 			conn = nil
-			// A client that is refused does not come back at once.
+			// A refused client does not retry at once.
 			time.Sleep(time.Duration(r.IntN(10)) * time.Millisecond)
 		}
 	}
 }
 
-// request sends one request, checks its answer, and tells whether the connection
-// may be used again.
-func (s *soak) request(c net.Conn, kind, id string) bool {
+// sendRequest sends a request, checks its answer, and reports whether the connection may be used
+// again.
+func (s *soak) sendRequest(c net.Conn, kind, id string) bool {
 	method := http.MethodPost
-	if kind == againPath {
+	if kind == idempotentPath {
 		method = http.MethodGet
 	}
 	_ = c.SetDeadline(time.Now().Add(3 * time.Second))
@@ -232,35 +235,35 @@
 	defer s.mu.Unlock()
 	s.answers[id] = soakAnswer{kind, resp.StatusCode}
 	if resp.StatusCode == http.StatusOK {
-		s.whole(kind, id, resp, string(body), err)
+		s.checkAnswer(kind, id, resp, string(body), err)
 	}
 	return err == nil && !resp.Close
 }
 
-// whole checks a successful answer. The caller holds the lock.
-func (s *soak) whole(kind, id string, resp *http.Response, body string, err error) {
+// checkAnswer checks an answer with status 200. The caller holds s.mu.
+func (s *soak) checkAnswer(kind, id string, resp *http.Response, body string, err error) {
 	if got := resp.Header.Get("Request-Id"); got != id {
-		s.fail("%s got the answer to %s", id, got)
+		s.errorf("%s got the answer to %s", id, got)
 	}
 	if resp.Header.Get("Response-Stamp") == "" {
-		s.fail("%s: success without a signature", id)
+		s.errorf("%s: success without a signature", id)
 	}
 	full := streamText(12)
 	switch {
-	case err != nil && kind == streamPath && !strings.HasPrefix(full, body):
-		s.fail("%s: pieces of a stream are out of order: %q", id, body)
+	case err != nil && kind == streamingPath && !strings.HasPrefix(full, body):
+		s.errorf("%s: the text of a cut stream is not a prefix of the whole: %q", id, body)
 	case err != nil:
-	case kind == streamPath && body != full:
-		s.fail("%s: a stream that is not whole looks complete: %q", id, body)
-	case kind != streamPath && !strings.HasPrefix(body, "answer of i-app"):
-		s.fail("%s: body %q", id, body)
+	case kind == streamingPath && body != full:
+		s.errorf("%s: an incomplete stream ended as if complete: %q", id, body)
+	case kind != streamingPath && !strings.HasPrefix(body, "answer of i-app"):
+		s.errorf("%s: body %q", id, body)
 	default:
 		s.served++
 	}
 }
 
-// hurtHosts strikes one daemon: a kill, a stop, a pause or a hang-up.
-func (s *soak) hurtHosts(r *rand.Rand) {
+// injectHostFault kills, stops, pauses or hangs up one daemon.
+func (s *soak) injectHostFault(r *rand.Rand) {
 	h := s.hosts[r.IntN(len(s.hosts))]
 	pause := time.Duration(r.IntN(400)) * time.Millisecond
 	switch r.IntN(5) {
@@ -283,8 +286,8 @@
 	time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 }
 
-// hurtStore makes the store misbehave for some hosts, or drop its history.
-func (s *soak) hurtStore(r *rand.Rand) {
+// injectStoreFault makes the store fail for some hosts, and sometimes compacts its history.
+func (s *soak) injectStoreFault(r *rand.Rand) {
 	faults := []hosting.Fault{hosting.Unavailable, hosting.TooManyRequests, hosting.LoseAnswer, hosting.ResetConnection, hosting.NeverAnswer}
 	fault := faults[r.IntN(len(faults))]
 	some := r.IntN(3)
@@ -302,9 +305,9 @@
 	time.Sleep(time.Duration(r.IntN(500)) * time.Millisecond)
 }
 
-// hurtLinks hurts the way to one engine.
-func (s *soak) hurtLinks(r *rand.Rand) {
-	p := s.proxies[r.IntN(len(s.proxies))]
+// injectLinkFault puts a fault on the connections to one engine.
+func (s *soak) injectLinkFault(r *rand.Rand) {
+	p := s.engineProxies[r.IntN(len(s.engineProxies))]
 	p.Set("0.0.0.0/0", []injector.Fault{
 		{Cut: true}, {Freeze: true}, {LoseAnswers: true}, {Delay: 50 * time.Millisecond}, {DropAfter: 300},
 	}[r.IntN(5)])
@@ -312,14 +315,15 @@
 	p.Set("0.0.0.0/0", injector.Fault{})
 }
 
-// change writes a new version of the configuration.
-func (s *soak) change(r *rand.Rand) {
+// changeConfiguration writes a new version of the configuration.
+func (s *soak) changeConfiguration(r *rand.Rand) {
 	s.configure(func(c *hostedConfig) { c.Routes[2].MaxAttempts = 1 + r.IntN(2) })
 	time.Sleep(time.Duration(r.IntN(600)) * time.Millisecond)
 }
 
-// recover waits until every daemon serves again.
-func (s *soak) recover() {
+// awaitRecovery starts daemons that have ended, and waits until every daemon serves with the
+// newest configuration.
+func (s *soak) awaitRecovery() {
 	for _, h := range s.hosts {
 		select {
 		case <-h.exited:
@@ -327,42 +331,43 @@
 		default:
 		}
 		h.awaitReady()
-		eventually(s.t, h.name+" has the newest configuration", func() error { return want("number", h.inForce(), s.config.Version) })
+		eventually(s.t, h.name+" has the newest configuration", func() error { return checkEqual("number", h.configurationInForce(), s.config.Version) })
 		eventually(s.t, h.name+" serves", func() error {
-			return want("status", h.send(hostedRequest{Method: http.MethodGet, Target: againPath, Key: deskKey}).status, http.StatusOK)
+			return checkEqual("status", h.send(hostedRequest{Method: http.MethodGet, Target: idempotentPath, Key: deskKey}).status, http.StatusOK)
 		})
 	}
 }
 
-// check compares what clients were told with what engines and the cloud saw.
-func (s *soak) check() {
+// checkResults compares the answers that clients got with what the engines ran and the cloud was
+// told.
+func (s *soak) checkResults() {
 	runs := make(map[string]int)
 	for _, e := range s.engines {
 		for _, run := range e.Executions() {
 			runs[run.Request]++
 			if run.Tenant != deskName {
-				s.fail("%s ran for %q", run.Request, run.Tenant)
+				s.errorf("%s ran for %q", run.Request, run.Tenant)
 			}
 		}
 	}
 	for id, a := range s.answers {
-		if a.kind == onceTarget && runs[id] > 1 {
-			s.fail("posting %s ran %d times", id, runs[id])
+		if a.kind == nonIdempotentPath && runs[id] > 1 {
+			s.errorf("posting %s ran %d times", id, runs[id])
 		}
 		switch a.status {
 		case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 			if runs[id] > 0 {
-				s.fail("%s was answered %d, and ran", id, a.status)
+				s.errorf("%s was answered %d, and ran", id, a.status)
 			}
 		case http.StatusUnauthorized, http.StatusNotFound:
-			s.fail("%s was answered %d, though its key and route were always there", id, a.status)
+			s.errorf("%s was answered %d, although its key and route always existed", id, a.status)
 		}
 	}
-	if _, err := s.counted(deskName); err != nil {
-		s.fail("%v", err)
+	if _, err := s.reportedRequests(deskName); err != nil {
+		s.errorf("%v", err)
 	}
 	if s.served == 0 {
-		s.fail("none of %d requests was served", s.sent)
+		s.errorf("none of %d requests was served", s.sent)
 	}
-	s.t.Logf("%d requests sent, %d served whole", s.sent, s.served)
+	s.t.Logf("%d requests sent, %d served completely", s.sent, s.served)
 }
--- a/integration/stop_test.go
+++ b/integration/stop_test.go
@@ -14,23 +14,23 @@
 	"brasschute/internal/peer/rpc"
 )
 
+// TestStopKeepsServingWhileTheBalancerLags sends SIGTERM to a daemon under load. Its readiness
+// must fail at once, while it serves what the balancer still sends. Then it must refuse new
+// requests as not run, complete the running ones, and exit with 0. A second SIGTERM must change
+// nothing.
 func TestStopKeepsServingWhileTheBalancerLags(t *testing.T) {
-	// A daemon gets SIGTERM under load. Its readiness must fail at once, while
-	// requests that the balancer still sends are served; then new ones are
-	// refused as not run, the running ones end whole, and it exits with 0. A
-	// second SIGTERM must change nothing.
 	f := newFleet(t)
 	f.addEngine(1)
-	f.addPlain(1)
+	f.addPlainService(1)
 	d := f.addEntry(1, "Drain: {BalancerLag: 2s, Patience: 20s}")
 	d.mustApply(configuration(), 0)
-	f.ready()
-	f.gateAll(gateAt)
+	f.awaitReady()
+	f.setAllGates(gateTokens)
 	s := d.open(letterTokens)
-	middle(t, s)
+	awaitGate(t, s)
 	d.signal(syscall.SIGTERM)
 	eventually(t, "not ready", func() error {
-		return want("readyz", d.do(http.MethodGet, "/readyz", "").status, http.StatusServiceUnavailable)
+		return checkEqual("readyz", d.do(http.MethodGet, "/readyz", "").status, http.StatusServiceUnavailable)
 	})
 	if r := d.do(http.MethodGet, "/services/ledger/x", ""); r.status != http.StatusOK {
 		t.Fatalf("while the balancer lags: %d %s", r.status, r.body)
@@ -38,56 +38,56 @@
 	d.signal(syscall.SIGTERM)
 	eventually(t, "refusing", func() error {
 		r := d.do(http.MethodGet, "/services/ledger/x", "")
-		if r.kind() != "draining" || r.outcome() != "not-run" || r.header.Get("Retry-After") == "" {
+		if r.problemType() != "draining" || r.outcome() != "not-run" || r.header.Get("Retry-After") == "" {
 			return fmt.Errorf("%d %s %w", r.status, r.body, r.err)
 		}
 		return nil
 	})
-	f.gateAll(0)
-	if err := s.check(letterTokens); err != nil {
+	f.setAllGates(0)
+	if err := s.checkComplete(letterTokens); err != nil {
 		t.Fatal(err)
 	}
-	d.stopped()
+	d.awaitExit()
 }
 
+// TestStopHandsOverLongStreams drains a daemon with a stream that lasts longer than the drain
+// timeout. The daemon must end in time, and the stream must continue at a peer.
 func TestStopHandsOverLongStreams(t *testing.T) {
-	// A stream lasts longer than the operator's patience. The daemon must end
-	// all the same, and the stream go on at a peer.
 	f := newFleet(t)
 	f.addEngine(1)
 	d := f.addEntry(1, "Drain: {BalancerLag: 10ms, Patience: 2s}")
 	f.addEntry(1)
 	d.mustApply(configuration(), 0)
-	f.ready()
-	f.gateAll(gateAt)
+	f.awaitReady()
+	f.setAllGates(gateTokens)
 	s := d.open(letterTokens)
-	middle(t, s)
+	awaitGate(t, s)
 	if _, err := d.operator().Drain(t.Context(), &rpc.DrainRequest{}); err != nil {
 		t.Fatal(err)
 	}
 	s.wait()
-	d.stopped()
-	f.gateAll(0)
-	s.follow(f.entries[1], letterTokens, "Last-Event-ID", s.lastEventID())
-	if err := s.check(letterTokens); err != nil {
+	d.awaitExit()
+	f.setAllGates(0)
+	s.send(f.entries[1], letterTokens, "Last-Event-ID", s.lastEventID())
+	if err := s.checkComplete(letterTokens); err != nil {
 		t.Fatal(err)
 	}
 }
 
+// TestStopOfIdleConnections sends a request over an idle connection, as a balancer keeps them,
+// just when the daemon stops. The daemon must answer it, and tell the balancer to close the
+// connection.
 func TestStopOfIdleConnections(t *testing.T) {
-	// A balancer keeps idle connections open and sends on one just when the
-	// daemon stops. As long as the daemon lives, what is sent on them must be
-	// answered, and the answer must tell the balancer to drop them.
 	f := newFleet(t)
 	f.addEngine(1)
-	f.addPlain(1)
+	f.addPlainService(1)
 	d := f.addEntry(1)
 	d.mustApply(configuration(), 0)
-	f.ready()
-	f.gateAll(gateAt)
+	f.awaitReady()
+	f.setAllGates(gateTokens)
 	s := d.open(letterTokens)
-	middle(t, s)
-	idle, err := net.Dial("tcp", d.callers)
+	awaitGate(t, s)
+	idle, err := net.Dial("tcp", d.callerAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -110,27 +110,28 @@
 	}
 	d.signal(syscall.SIGTERM)
 	eventually(t, "draining", func() error {
-		return want("ready", d.do(http.MethodGet, "/readyz", "").status, http.StatusServiceUnavailable)
+		return checkEqual("ready", d.do(http.MethodGet, "/readyz", "").status, http.StatusServiceUnavailable)
 	})
 	if resp := send(); !resp.Close {
 		t.Fatal("the answer does not close the connection")
 	}
-	f.gateAll(0)
-	if err := s.check(letterTokens); err != nil {
+	f.setAllGates(0)
+	if err := s.checkComplete(letterTokens); err != nil {
 		t.Fatal(err)
 	}
-	d.stopped()
+	d.awaitExit()
 }
 
-// balancer sends to daemons that are ready, and looks only now and then.
+// balancer sends requests in turn to the daemons that were ready at its last check.
 type balancer struct {
-	mu    sync.Mutex
-	f     *fleet
-	ready []*daemon
-	turn  int
+	mu        sync.Mutex
+	f         *fleet
+	ready     []*daemon
+	lastIndex int
 }
 
-func (b *balancer) look() {
+// updateReady checks the readiness of all daemons.
+func (b *balancer) updateReady() {
 	var ready []*daemon
 	for _, d := range b.f.entries {
 		if r := d.do(http.MethodGet, "/readyz", ""); r.err == nil && r.status == http.StatusOK {
@@ -142,44 +143,45 @@
 	b.mu.Unlock()
 }
 
+// next returns the next ready daemon.
 func (b *balancer) next() *daemon {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.turn++
-	return b.ready[b.turn%len(b.ready)]
+	b.lastIndex++
+	return b.ready[b.lastIndex%len(b.ready)]
 }
 
+// TestStopRollingRestartLosesNothing restarts all daemons one after the other under load, behind
+// a balancer that checks readiness with a delay. No stream and no other request may fail.
 func TestStopRollingRestartLosesNothing(t *testing.T) {
-	// All daemons are restarted one after another under load, with a balancer
-	// that lags. Not one request may fail: neither a stream nor a booking.
 	f := newFleet(t)
 	f.addEngine(1, "--decode", "400")
 	f.addEngine(2, "--decode", "400")
-	f.addPlain(1)
-	f.addPlain(2)
+	f.addPlainService(1)
+	f.addPlainService(2)
 	for zone := 1; zone <= 3; zone++ {
 		f.addEntry(zone, "Drain: {BalancerLag: 1s, Patience: 20s}")
 	}
 	f.entries[0].mustApply(configuration(), 0)
-	f.ready()
+	f.awaitReady()
 	b := &balancer{f: f}
-	b.look()
+	b.updateReady()
 	stop := make(chan struct{})
 	var group sync.WaitGroup
-	group.Go(func() { b.watch(stop) })
+	group.Go(func() { b.pollReadiness(stop) })
 	failures := make(chan string, 1000)
 	for i := range 6 {
-		group.Go(func() { b.load(i, stop, failures) })
+		group.Go(func() { b.sendLoad(i, stop, failures) })
 	}
 	for _, d := range f.entries {
 		d.signal(syscall.SIGTERM)
-		d.stopped()
+		d.awaitExit()
 		d.restart()
-		d.ready()
-		eventually(t, "balanced again", func() error {
+		d.awaitReady()
+		eventually(t, "the balancer knows all daemons as ready", func() error {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			return want("ready daemons", len(b.ready), len(f.entries))
+			return checkEqual("ready daemons", len(b.ready), len(f.entries))
 		})
 	}
 	close(stop)
@@ -190,19 +192,21 @@
 	}
 }
 
-func (b *balancer) watch(stop chan struct{}) {
+// pollReadiness checks readiness every 100 ms until stop is closed.
+func (b *balancer) pollReadiness(stop chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
 		case <-time.After(100 * time.Millisecond):
-			b.look()
+			b.updateReady()
 		}
 	}
 }
 
-// load sends streams and bookings by turns until stopped.
-func (b *balancer) load(worker int, stop chan struct{}, failures chan string) {
+// sendLoad sends streams and non-idempotent requests in turn until stop is closed or one of them
+// fails.
+func (b *balancer) sendLoad(worker int, stop chan struct{}, failures chan string) {
 	for n := 0; ; n++ {
 		select {
 		case <-stop:
@@ -211,7 +215,7 @@
 		}
 		d := b.next()
 		if n%2 == 0 {
-			if err := d.open(20).check(20); err != nil {
+			if err := d.open(20).checkComplete(20); err != nil {
 				failures <- fmt.Sprintf("worker %d at %s: %v", worker, d.host, err)
 				return
 			}
@@ -225,13 +229,14 @@
 	}
 }
 
+// TestStopOfController sends SIGTERM to the controller that holds the lease. It must exit with 0
+// and send no more orders.
 func TestStopOfController(t *testing.T) {
-	// A controller gets SIGTERM. It must end with 0 and order nothing more.
 	f := newFleet(t)
 	c := f.addController(1, "controller-1")
-	eventually(t, "leads", func() error {
+	eventually(t, "lease held", func() error {
 		var o struct{ Version uint64 }
-		if err := f.get("http://"+f.admin+"/v1/objects/leases/zone-1", &o); err != nil {
+		if err := f.getJSON("http://"+f.platformAddress+"/v1/objects/leases/zone-1", &o); err != nil {
 			return err
 		}
 		if o.Version == 0 {
@@ -240,5 +245,5 @@
 		return nil
 	})
 	c.signal(syscall.SIGTERM)
-	c.stopped()
+	c.awaitExit()
 }
--- a/integration/witness_test.go
+++ b/integration/witness_test.go
@@ -12,23 +12,26 @@
 	"brasschute/internal/standin/platform"
 )
 
-const heldRule = `{Name: witnessed, When: 'Service in ["confirm", "ledger"]', Then: {HoldFor: witness}}`
+// witnessRule holds the answers of the services "confirm" and "ledger" until the witness
+// acknowledges them.
+const witnessRule = `{Name: witnessed, When: 'Service in ["confirm", "ledger"]', Then: {HoldFor: witness}}`
 
-// witnessed starts two daemons whose confirmations Compliance must witness.
-func witnessed(t *testing.T) *fleet {
+// newWitnessedFleet starts two daemons, a plain service and a witness, with the witnessRule in
+// force.
+func newWitnessedFleet(t *testing.T) *fleet {
 	t.Helper()
 	f := newFleet(t)
-	f.addPlain(1)
+	f.addPlainService(1)
 	f.addWitness(1)
 	f.addEntry(1)
 	f.addEntry(2)
-	f.entries[0].mustApply(configuration(heldRule), 0)
-	f.ready()
+	f.entries[0].mustApply(configuration(witnessRule), 0)
+	f.awaitReady()
 	return f
 }
 
-// held checks an answer that is held and returns where to collect it.
-func held(t *testing.T, r *reply) string {
+// checkHeld checks that an answer is held and returns the path at which it can be fetched later.
+func checkHeld(t *testing.T, r *reply) string {
 	t.Helper()
 	if r.status != http.StatusAccepted || r.header.Get("Retry-After") == "" || r.header.Get("Location") == "" {
 		t.Fatalf("%d %s %v", r.status, r.body, r.header)
@@ -39,8 +42,8 @@
 	return r.header.Get("Location")
 }
 
-// collected waits until the answer is released.
-func (d *daemon) collected(path string) {
+// awaitReleased waits until the held answer at path is released.
+func (d *daemon) awaitReleased(path string) {
 	d.f.t.Helper()
 	eventually(d.f.t, "released", func() error {
 		r := d.do(http.MethodGet, path, "")
@@ -51,10 +54,10 @@
 	})
 }
 
+// TestWitnessAcknowledges sends a request whose answer the witness acknowledges. The answer must
+// be released at once, after the witness has seen it.
 func TestWitnessAcknowledges(t *testing.T) {
-	// The witness is there: the confirmation is released at once, and the
-	// witness has seen it before the caller did.
-	f := witnessed(t)
+	f := newWitnessedFleet(t)
 	r := f.entries[0].confirm("k", "bond 7")
 	if r.status != http.StatusOK || !strings.Contains(r.body, "bond 7") {
 		t.Fatalf("%d %s", r.status, r.body)
@@ -64,11 +67,11 @@
 	}
 }
 
+// TestWitnessDownDelaysAndNeverBypasses lets the witness fail in several ways. The request runs
+// once, and until the witness acknowledges its answer, nobody may get it from any daemon, neither
+// by repeating the key nor by fetching the held answer.
 func TestWitnessDownDelaysAndNeverBypasses(t *testing.T) {
-	// The witness fails in several ways. The confirmation has run, once, but
-	// no way leads to its answer until the witness acknowledges: neither
-	// repeating the key, nor collecting, at any daemon.
-	f := witnessed(t)
+	f := newWitnessedFleet(t)
 	cases := []struct {
 		name  string
 		fault injector.Fault
@@ -83,67 +86,67 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			w.proxy.Set(injector.All, c.fault)
-			w.behave(c.plain)
-			path := held(t, f.entries[0].confirm(c.name, "bond 7"))
-			held(t, f.entries[1].do(http.MethodGet, path, ""))
+			w.setBehaviour(c.plain)
+			path := checkHeld(t, f.entries[0].confirm(c.name, "bond 7"))
+			checkHeld(t, f.entries[1].do(http.MethodGet, path, ""))
 			eventually(t, "claim finished", func() error {
-				return want("repeat", f.entries[1].confirm(c.name, "bond 7").status, http.StatusAccepted)
+				return checkEqual("repeat", f.entries[1].confirm(c.name, "bond 7").status, http.StatusAccepted)
 			})
-			if n := total(c.name, f.plains...); n != 1 {
+			if n := executionCount(c.name, f.plainServices...); n != 1 {
 				t.Fatalf("ran %d times", n)
 			}
 			w.proxy.Set(injector.All, injector.Fault{})
-			w.behave(plain.Behaviour{})
-			f.entries[1].collected(path)
+			w.setBehaviour(plain.Behaviour{})
+			f.entries[1].awaitReleased(path)
 		})
 	}
 }
 
+// TestWitnessHoldSurvivesReclaim kills the daemon that holds an answer, as when its host is
+// reclaimed. The caller must get the answer at another daemon.
 func TestWitnessHoldSurvivesReclaim(t *testing.T) {
-	// The entry host that holds a confirmation is reclaimed, or dies. The
-	// answer must be there for its caller at another daemon.
-	f := witnessed(t)
+	f := newWitnessedFleet(t)
 	f.witnesses[0].proxy.Set(injector.All, injector.Fault{Cut: true})
-	path := held(t, f.entries[0].confirm("k", "bond 7"))
+	path := checkHeld(t, f.entries[0].confirm("k", "bond 7"))
 	f.entries[0].kill()
-	held(t, f.entries[1].do(http.MethodGet, path, ""))
+	checkHeld(t, f.entries[1].do(http.MethodGet, path, ""))
 	f.witnesses[0].proxy.Set(injector.All, injector.Fault{})
-	f.entries[1].collected(path)
+	f.entries[1].awaitReleased(path)
 }
 
+// TestWitnessHoldWithoutPlatform takes witness and platform down together. Peers must keep the
+// answer until the caller fetches it, even if the first daemon stops.
 func TestWitnessHoldWithoutPlatform(t *testing.T) {
-	// Witness and platform are down together. The answer is kept at peers
-	// until its caller comes, even if the first daemon leaves.
-	f := witnessed(t)
+	f := newWitnessedFleet(t)
 	f.witnesses[0].proxy.Set(injector.All, injector.Fault{Cut: true})
-	f.faults(platform.Faults{Outage: true})
-	path := held(t, f.entries[0].do(http.MethodPost, "/services/ledger/x", "bond 7"))
+	f.setFaults(platform.Faults{Outage: true})
+	path := checkHeld(t, f.entries[0].do(http.MethodPost, "/services/ledger/x", "bond 7"))
 	f.entries[0].signal(syscall.SIGTERM)
-	f.entries[0].stopped()
-	held(t, f.entries[1].do(http.MethodGet, path, ""))
+	f.entries[0].awaitExit()
+	checkHeld(t, f.entries[1].do(http.MethodGet, path, ""))
 	f.witnesses[0].proxy.Set(injector.All, injector.Fault{})
-	f.entries[1].collected(path)
+	f.entries[1].awaitReleased(path)
 }
 
+// TestWitnessOfAModelsAnswer streams a model's answer under a rule that holds answers. It must
+// not be streamed before the witness acknowledges it, but be held as a whole.
 func TestWitnessOfAModelsAnswer(t *testing.T) {
-	// A streamed letter falls under a rule that holds: it must not be
-	// streamed past the witness, but be held as a whole.
 	f := newFleet(t)
 	f.addEngine(1)
 	f.addWitness(1)
 	d := f.addEntry(1)
 	d.mustApply(configuration(`{Name: letters, When: 'Kind == "model"', Then: {HoldFor: witness}}`), 0)
-	f.ready()
+	f.awaitReady()
 	f.witnesses[0].proxy.Set(injector.All, injector.Fault{Cut: true})
 	r := d.do(http.MethodPost, "/v1/chat/completions", chat(5, true))
-	path := held(t, r)
-	if strings.Contains(r.body, strings.TrimSpace(expected(1))) {
+	path := checkHeld(t, r)
+	if strings.Contains(r.body, strings.TrimSpace(expectedText(1))) {
 		t.Fatalf("leaked: %s", r.body)
 	}
 	f.witnesses[0].proxy.Set(injector.All, injector.Fault{})
 	eventually(t, "released", func() error {
 		r := d.do(http.MethodGet, path, "")
-		if r.status != http.StatusOK || !containsText(r.body, expected(5)) {
+		if r.status != http.StatusOK || !containsText(r.body, expectedText(5)) {
 			return fmt.Errorf("%d %s", r.status, r.body)
 		}
 		return nil
