--- a/internal/fleet/sizer/sizer.go
+++ b/internal/fleet/sizer/sizer.go
@@ -1,27 +1,22 @@
-// Package sizer decides how many endpoints of each class a service should have
-// in each zone.
+// Package sizer decides how many endpoints of each class a service should have in each zone.
 //
-// # The load it answers
+// Bursts of requests last as long as a new endpoint takes to start. The reclaimable endpoints
+// of a zone are reclaimed all at once, in waves of zones that follow each other within seconds,
+// and none are available anywhere meanwhile. So the pool is sized such that the loss of any one
+// zone's reclaimable endpoints leaves most of the required capacity, at every moment and not
+// only between waves.
 //
-// Requests come in bursts that last as long as a new endpoint takes to start, and
-// reclaimable endpoints go a whole zone at once, in waves that follow each other
-// within seconds, with none to be had anywhere meanwhile. So the pool is kept such
-// that the loss of any one zone's reclaimable endpoints leaves most of what is needed,
-// at each moment and not only in calm ones.
-//
-// # Two classes
-//
-// Reclaimable endpoints cost a fraction. As long as the spare ones that a zone's
-// loss asks for leave them cheaper, all that is needed is reclaimable, spread evenly
-// over the zones. On-demand ones stand in for what the living reclaimable ones do
-// not carry: while those are starting, or are not to be had. With reclaimable ones
-// that are dear, or none, all are on-demand.
+// Reclaimable endpoints cost a fraction of on-demand ones. As long as they are cheaper even
+// with the spare ones for the loss of a zone, all required endpoints are reclaimable and spread
+// evenly over the zones. On-demand endpoints make up for what the running reclaimable ones
+// can't serve, while those are starting or are unavailable. Where reclaimable endpoints are too
+// expensive or don't exist, all endpoints are on-demand.
 //
 // # Usage
 //
 //	wanted := sizer.Size(&sizer.Input{...})
 //
-// Size is a pure function; package orderer carries its plan out.
+// Size is a pure function; package autoscaler carries out its result.
 package sizer
 
 import (
@@ -35,69 +30,68 @@
 )
 
 const (
-	// busyPart of its time is what an engine spends with reading prompts at its
-	// capacity; the steps of the streams beside them take as much again, and the rest
-	// keeps queues short. Measured as worth over five days, with 12 engines: those that
-	// were learned to read 43,000 tokens a second did best at 14,000 (0.596; 0.584 at
-	// 11,000, 0.568 at 20,000); those of 70,000 at 28,000 (0.579; 0.562 at 22,000).
-	busyPart = 0.32
-	// fullPart of an engine's slots is what may run on it: the rest is for the
-	// requests that news of seconds ago places unevenly.
-	fullPart = 0.6
-	// unknownSlots stands for the slots of an engine where no configuration says them.
-	unknownSlots = 64
+	// prefillFraction is the fraction of its time that an engine at capacity spends on prefill.
+	// The decode steps of the streams beside it take as much again, and the rest keeps queues
+	// short. Over five days with 12 engines, engines estimated at 43,000 tokens a second earned
+	// most when sized for 14,000 (0.596; 0.584 at 11,000, 0.568 at 20,000), engines of 70,000
+	// when sized for 28,000 (0.579; 0.562 at 22,000).
+	prefillFraction = 0.32
+	// usableSlotFraction is the fraction of an engine's slots that may be in use. The rest is
+	// for requests that are placed unevenly because load reports are seconds old.
+	usableSlotFraction = 0.6
+	// defaultSlots is the number of slots of an engine where the configuration states none.
+	defaultSlots = 64
 )
 
-// leastPart of the need is kept when a zone's reclaimable endpoints go: for the seconds
-// that on-demand ones take to start, the others may be busier. With all of the need
-// kept, on-demand ones stood by through each wave: worth 0.575 instead of 0.593 (0.8)
-// and 0.600 (0.65) over five days, no difference where engines are cheaper (0.597,
-// 0.595, 0.589).
-const leastPart = 0.7
+// minCapacityFraction is the fraction of the required endpoints that remains when a zone's
+// reclaimable endpoints go: for the seconds that on-demand endpoints take to start, the others
+// may be busier. With all of the requirement kept, on-demand endpoints ran through each wave.
+// Over five days that earned 0.575, against 0.593 with 0.8 and 0.600 with 0.65; where engines
+// are cheaper there was no difference (0.597, 0.595, 0.589).
+const minCapacityFraction = 0.7
 
-// onDemandSpare is the part of the need that on-demand endpoints have in excess
-// where there are no reclaimable ones, for bursts shorter than an endpoint's start.
-const onDemandSpare = 0.3
+// onDemandSpareFraction is the spare fraction of on-demand endpoints where there are no
+// reclaimable ones, for bursts shorter than the start of an endpoint.
+const onDemandSpareFraction = 0.3
 
-// Capacity is the demand that one endpoint takes with the wanted waiting time; see
+// Capacity is the demand that one endpoint can serve within the target waiting time; see
 // package estimator.
 type Capacity struct {
-	// Tokens are uncached prompt tokens a second.
+	// Tokens is the rate of uncached prompt tokens per second.
 	Tokens float64
-	// Running are requests at once.
+	// Running is the number of concurrent requests.
 	Running float64
 }
 
-// EngineCapacity returns the capacity of an engine that reads so many prompt tokens a
-// second, its fixed time apart, and runs so many requests at once; 0 if that is not
-// known.
+// EngineCapacity returns the capacity of an engine that reads speed prompt tokens a second, not
+// counting its fixed time per request, and has the given number of slots, 0 if not known.
 func EngineCapacity(speed float64, slots int) Capacity {
 	if slots <= 0 {
-		slots = unknownSlots
+		slots = defaultSlots
 	}
-	return Capacity{Tokens: busyPart * speed, Running: fullPart * float64(slots)}
+	return Capacity{Tokens: prefillFraction * speed, Running: usableSlotFraction * float64(slots)}
 }
 
-// EndpointsFor returns how many endpoints the demand asks for.
+// EndpointsFor returns the number of endpoints, fractions included, that a demand requires.
 func (c Capacity) EndpointsFor(d demandmeter.Demand) float64 {
 	return max(d.Tokens/max(c.Tokens, 1), float64(d.Running)/max(c.Running, 1))
 }
 
-// Zone is what a service has in one zone: endpoints that are not leaving.
+// Zone is the state of a service in one zone. It counts only endpoints that are not leaving.
 type Zone struct {
 	Zone identifier.AvailabilityZone
-	// OnDemand are listed, or ordered and still on their way.
+	// OnDemand counts endpoints that are listed, or ordered and still starting.
 	OnDemand    int
 	Reclaimable int
-	// ReclaimableWithPending is the number of reclaimable endpoints once those on their way are
-	// there.
+	// ReclaimableWithPending is the number of reclaimable endpoints including those that are
+	// ordered and still starting.
 	ReclaimableWithPending int
-	// ReclaimableUnavailable: reclaimable endpoints are not to be had here now.
+	// ReclaimableUnavailable tells that no further reclaimable endpoints are available now.
 	ReclaimableUnavailable bool
 }
 
-// expected is how many reclaimable endpoints there will be within the time that one
-// takes to start.
+// expected returns the number of reclaimable endpoints there will be within the start time of
+// an endpoint.
 func (z *Zone) expected() int {
 	if z.ReclaimableUnavailable {
 		return z.Reclaimable
@@ -105,31 +99,31 @@
 	return max(z.Reclaimable, z.ReclaimableWithPending)
 }
 
-// Input is what a decision needs to know.
+// Input holds the inputs of [Size].
 type Input struct {
 	Scale *catalog.Scale
-	// Required is the number of endpoints for the load.
+	// Required is the number of endpoints that the load requires.
 	Required float64
-	// Spare are endpoints wanted besides, if they are reclaimable.
+	// Spare is the number of endpoints wanted in addition if they are reclaimable.
 	Spare float64
 	Zones []Zone
 }
 
-// Wanted is the decision for one zone.
+// Wanted holds the wanted numbers of endpoints in one zone.
 type Wanted struct {
 	Zone        identifier.AvailabilityZone
 	OnDemand    int
 	Reclaimable int
 }
 
-// plan is a decision in the making.
+// plan is the state of one call of Size. zones is sorted by price; out has the same order.
 type plan struct {
 	in    *Input
 	zones []Zone
 	out   []Wanted
 }
 
-// Size decides for all zones.
+// Size returns the wanted numbers of endpoints for all zones, the cheapest zone first.
 func Size(in *Input) []Wanted {
 	p := &plan{in: in, zones: slices.Clone(in.Zones), out: make([]Wanted, len(in.Zones))}
 	slices.SortFunc(p.zones, func(a, b Zone) int {
@@ -138,76 +132,78 @@
 	for i, z := range p.zones {
 		p.out[i] = Wanted{Zone: z.Zone, OnDemand: z.OnDemand}
 	}
-	if p.worthReclaiming() {
-		p.reclaimable(in.Required + in.Spare)
-		p.onDemand(in.Required)
+	if p.reclaimableCheaper() {
+		p.sizeReclaimable(in.Required + in.Spare)
+		p.sizeOnDemand(in.Required)
 		return p.out
 	}
-	p.settle(int(math.Ceil(in.Required * (1 + onDemandSpare))))
+	p.distributeOnDemand(int(math.Ceil(in.Required * (1 + onDemandSpareFraction))))
 	return p.out
 }
 
-// worthReclaiming tells whether reclaimable endpoints are the cheaper ones, with the
-// spare ones for the loss of a zone.
-func (p *plan) worthReclaiming() bool {
+// reclaimableCheaper reports whether reclaimable endpoints, including the spare ones for the
+// loss of a zone, are cheaper than on-demand ones.
+func (p *plan) reclaimableCheaper() bool {
 	n := float64(len(p.zones))
 	return n > 1 && p.in.Scale.ReclaimablePriceRatio > 0 && p.in.Scale.ReclaimablePriceRatio*n/(n-1) < 1
 }
 
-// reclaimable spreads the need over the zones so that any one zone's may go. Where
-// none are to be had, the other zones carry it, if two are left.
-func (p *plan) reclaimable(need float64) {
-	open := 0
+// sizeReclaimable spreads the required endpoints over the zones so that any one zone may be
+// lost. Where a zone has none available, the other zones serve its share if at least two are
+// left.
+func (p *plan) sizeReclaimable(required float64) {
+	available := 0
 	for _, z := range p.zones {
 		if !z.ReclaimableUnavailable {
-			open++
+			available++
 		}
 	}
 	for i, z := range p.zones {
 		zones := len(p.zones)
-		if !z.ReclaimableUnavailable && open > 1 {
-			zones = open
+		if !z.ReclaimableUnavailable && available > 1 {
+			zones = available
 		}
-		each := max(int(math.Ceil(need/float64(zones-1))), 1)
-		// Those that live have their room: to give them back for on-demand ones
-		// that are to go, too, left a third of the pool for a second.
-		p.out[i].Reclaimable = min(each, max(p.in.Scale.Max-z.OnDemand, z.Reclaimable))
+		perZone := max(int(math.Ceil(required/float64(zones-1))), 1)
+		// Running endpoints keep their place: giving them back for on-demand ones that were due
+		// to be given back too left a third of the pool for a second.
+		p.out[i].Reclaimable = min(perZone, max(p.in.Scale.Max-z.OnDemand, z.Reclaimable))
 	}
 }
 
-// onDemand keeps so many on-demand endpoints that the need is met, and leastPart of it
-// when the reclaimable ones of the fullest zone go. Reclaimable ones on their way are
-// no reason to order on-demand ones, which take as long; nor to give any back, before
-// they are there.
-func (p *plan) onDemand(need float64) {
+// sizeOnDemand sets the number of on-demand endpoints so that the required number is met, and
+// minCapacityFraction of it after the loss of the fullest zone's reclaimable endpoints.
+// Reclaimable endpoints that are still starting neither cause orders of on-demand ones, which
+// take as long to start, nor let any be given back before they are listed.
+func (p *plan) sizeOnDemand(required float64) {
 	have := 0
 	for _, z := range p.zones {
 		have += z.OnDemand
 	}
-	low := p.missing(need, (*Zone).expected)
-	high := p.missing(need, func(z *Zone) int { return z.Reclaimable })
-	p.settle(min(max(have, low), high))
+	low := p.onDemandNeeded(required, (*Zone).expected)
+	high := p.onDemandNeeded(required, func(z *Zone) int { return z.Reclaimable })
+	p.distributeOnDemand(min(max(have, low), high))
 }
 
-// missing is how many on-demand endpoints are wanted beside so many reclaimable ones.
-func (p *plan) missing(need float64, count func(*Zone) int) int {
-	sum, most := 0, 0
+// onDemandNeeded returns how many on-demand endpoints are needed in addition to the reclaimable
+// ones that count returns for each zone.
+func (p *plan) onDemandNeeded(required float64, count func(*Zone) int) int {
+	sum, largest := 0, 0
 	for i := range p.zones {
 		n := count(&p.zones[i])
 		sum += n
-		most = max(most, n)
+		largest = max(largest, n)
 	}
-	return max(int(math.Ceil(need))-sum, int(math.Ceil(leastPart*need))-(sum-most), 0)
+	return max(int(math.Ceil(required))-sum, int(math.Ceil(minCapacityFraction*required))-(sum-largest), 0)
 }
 
-// settle brings the on-demand endpoints to a number: added where fewest are, the
-// cheapest zone first, taken where most are, the dearest first; so that a zone that
-// is cut off has some of its own.
-func (p *plan) settle(total int) {
+// distributeOnDemand changes the on-demand endpoints to the given total. It adds where there
+// are fewest, the cheapest zone first, and removes where there are most, the most expensive
+// zone first, so that a zone that is partitioned off has some of its own.
+func (p *plan) distributeOnDemand(total int) {
 	have := 0
 	for i := range p.out {
-		least := p.least(i)
-		p.out[i].OnDemand = min(max(p.out[i].OnDemand, least), max(p.in.Scale.Max, least))
+		minimum := p.minOnDemand(i)
+		p.out[i].OnDemand = min(max(p.out[i].OnDemand, minimum), max(p.in.Scale.Max, minimum))
 		have += p.out[i].OnDemand
 	}
 	for ; have > total; have-- {
@@ -226,17 +222,18 @@
 	}
 }
 
-// least is how many on-demand endpoints a zone keeps: Min holds for both classes.
-func (p *plan) least(i int) int {
+// minOnDemand returns the least number of on-demand endpoints of a zone: Min applies to both
+// classes together.
+func (p *plan) minOnDemand(i int) int {
 	return max(p.in.Scale.Min-p.zones[i].Reclaimable, 0)
 }
 
-// fullest is the dearest zone of those with most on-demand endpoints; -1 if none has
-// more than its least number.
+// fullest returns the most expensive of the zones with the most on-demand endpoints, or -1 if
+// no zone has more than its minimum.
 func (p *plan) fullest() int {
 	best := -1
 	for i, w := range p.out {
-		if w.OnDemand <= p.least(i) {
+		if w.OnDemand <= p.minOnDemand(i) {
 			continue
 		}
 		if best < 0 || w.OnDemand >= p.out[best].OnDemand {
@@ -246,8 +243,8 @@
 	return best
 }
 
-// emptiest is the cheapest zone of those with fewest on-demand endpoints; -1 if there
-// is no room in any.
+// emptiest returns the cheapest of the zones with the fewest on-demand endpoints, or -1 if all
+// zones are at their maximum.
 func (p *plan) emptiest() int {
 	best := -1
 	for i, w := range p.out {
--- a/internal/fleet/sizer/sizer_test.go
+++ b/internal/fleet/sizer/sizer_test.go
@@ -33,9 +33,9 @@
 	return onDemand, reclaimable
 }
 
-// The reclaimable endpoints of one zone after the other are taken away, and no
-// others are to be had. While the wanted ones took up the zones' maximum, nothing
-// replaced them: four engines were left for the load of seventeen, and one
+// Guards against a fleet that is not replaced when one zone after another loses its reclaimable
+// endpoints and none are available. While the wanted endpoints filled the zones' maximum,
+// nothing replaced the lost ones: four engines were left for a load of seventeen, and one
 // request in two failed for half a minute.
 func TestReclaimsInWaves(t *testing.T) {
 	in := &Input{Scale: scale(), Required: 17, Zones: zones(1, 5)}
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestQuietFleetIsSmall(t *testing.T) {
+func TestFleetWithoutLoadIsMinimal(t *testing.T) {
 	onDemand, reclaimable := total(Size(&Input{Scale: scale(), Zones: zones(3, 0)}))
 	if onDemand != 4 || reclaimable != 4 {
 		t.Errorf("%d on demand, %d reclaimable without a load", onDemand, reclaimable)
@@ -72,8 +72,8 @@
 	}
 }
 
-// drawn is any pool that may be listed.
-func drawn(t *rapid.T) *Input {
+// drawInput draws any pool that may be listed.
+func drawInput(t *rapid.T) *Input {
 	in := &Input{Scale: scale(), Required: rapid.Float64Range(0, 18).Draw(t, "need")}
 	in.Scale.ReclaimablePriceRatio = rapid.SampledFrom([]float64{0, 0.15, 0.3, 0.74, 0.9, 1}).Draw(t, "price")
 	for zone := range prices {
@@ -87,11 +87,11 @@
 	return in
 }
 
-// Whatever is listed and asked for: the bounds of each zone hold, both classes
-// together; and the decision does not depend on the order of the zones.
-func TestSizeKeepsItsBounds(t *testing.T) {
+// For any listed and ordered endpoints, the bounds of each zone hold for both classes together,
+// and the result does not depend on the order of the zones.
+func TestSizeWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := drawn(t)
+		in := drawInput(t)
 		wanted := Size(in)
 		if len(wanted) != len(in.Zones) {
 			t.Fatalf("%d zones decided of %d", len(wanted), len(in.Zones))
@@ -118,26 +118,25 @@
 	})
 }
 
-// carried is a pool's endpoints, what is left of them when the fullest zone's
-// reclaimable ones go, and the room for more that the zones have.
-func carried(wanted []Wanted, count func(identifier.AvailabilityZone) int, most int) (all, left, room int) {
+// countEndpoints returns the number of endpoints of a pool, the number left after the loss of
+// the fullest zone's reclaimable ones, and the number that the zones' maximum still allows.
+func countEndpoints(wanted []Wanted, count func(identifier.AvailabilityZone) int, maxPerZone int) (all, left, room int) {
 	fullest := 0
 	for _, w := range wanted {
 		n := count(w.Zone)
 		all += w.OnDemand + n
 		fullest = max(fullest, n)
-		room += max(most-w.OnDemand-n, 0)
+		room += max(maxPerZone-w.OnDemand-n, 0)
 	}
 	return all, all - fullest, room
 }
 
-// At each moment the need is met, and the loss of any one zone's reclaimable endpoints
-// leaves most of it, as soon as what was decided is there: those that are not to be
-// had, or have just been taken, are not counted on. Only a pool at its most may fall
-// short.
-func TestLossOfAnyZoneLeavesTheNeed(t *testing.T) {
+// Once the wanted endpoints are running, the required number is met, and the loss of any one
+// zone's reclaimable endpoints leaves most of it. Endpoints that are unavailable or have just
+// been reclaimed do not count. Only a pool at its maximum may have fewer.
+func TestLossOfAnyZoneLeavesMinCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		in := drawn(t)
+		in := drawInput(t)
 		listed := make(map[identifier.AvailabilityZone]Zone)
 		for _, z := range in.Zones {
 			listed[z.Zone] = z
@@ -146,19 +145,19 @@
 			z := listed[zone]
 			return z.expected()
 		}
-		all, left, room := carried(Size(in), expected, in.Scale.Max)
+		all, left, room := countEndpoints(Size(in), expected, in.Scale.Max)
 		if float64(all) < in.Required && room > 0 {
 			t.Fatalf("%d endpoints of a need of %.1f, with room for %d", all, in.Required, room)
 		}
-		if float64(left) < leastPart*in.Required && room > 0 {
+		if float64(left) < minCapacityFraction*in.Required && room > 0 {
 			t.Fatalf("%d endpoints left of a need of %.1f, with room for %d", left, in.Required, room)
 		}
 	})
 }
 
-// Reclaimable endpoints that cost nearly as much as others are dearer with the spare
-// ones that a zone's loss asks for; where there are none, all are on-demand.
-func TestDearReclaimableEndpointsAreNotOrdered(t *testing.T) {
+// Reclaimable endpoints that cost nearly as much as on-demand ones are more expensive with the
+// spare ones for the loss of a zone; where there are none, all endpoints are on-demand.
+func TestExpensiveReclaimableEndpointsAreNotOrdered(t *testing.T) {
 	for _, price := range []float64{0, 0.8, 1} {
 		in := &Input{Scale: scale(), Required: 8, Zones: zones(2, 0)}
 		in.Scale.ReclaimablePriceRatio = price
@@ -173,8 +172,8 @@
 	}
 }
 
-// On-demand endpoints stay until the reclaimable ones that follow them are there.
-func TestOnDemandEndpointsAwaitTheirSuccessors(t *testing.T) {
+// On-demand endpoints stay until the reclaimable ones that replace them are listed.
+func TestOnDemandEndpointsStayUntilReplaced(t *testing.T) {
 	in := &Input{Scale: scale(), Required: 8, Zones: zones(2, 0)}
 	for i := range in.Zones {
 		in.Zones[i].ReclaimableWithPending = 3
@@ -190,17 +189,18 @@
 	}
 }
 
-// Engines with 16 slots take fewer requests than those with 128: by tokens alone 12
-// engines were wanted for 300 running requests, and each new one waited for a slot.
-func TestFewSlotsWantMoreEngines(t *testing.T) {
+// Guards against sizing by tokens alone: engines with 16 slots serve fewer concurrent requests
+// than those with 128, and 12 engines were wanted for 300 running requests, so that each new
+// request waited for a slot.
+func TestFewSlotsNeedMoreEngines(t *testing.T) {
 	demand := demandmeter.Demand{Tokens: 12 * 14_000, Running: 300}
-	if need := EngineCapacity(14_000/busyPart, 16).EndpointsFor(demand); need*16 < 300 {
+	if need := EngineCapacity(14_000/prefillFraction, 16).EndpointsFor(demand); need*16 < 300 {
 		t.Errorf("%.0f engines of 16 slots for 300 requests", need)
 	}
-	if need := EngineCapacity(14_000/busyPart, 128).EndpointsFor(demand); need > 13 {
+	if need := EngineCapacity(14_000/prefillFraction, 128).EndpointsFor(demand); need > 13 {
 		t.Errorf("%.0f engines of 128 slots", need)
 	}
-	if need := EngineCapacity(14_000/busyPart, 0).EndpointsFor(demand); need > 13 {
+	if need := EngineCapacity(14_000/prefillFraction, 0).EndpointsFor(demand); need > 13 {
 		t.Errorf("%.0f engines of unknown slots", need)
 	}
 }
