--- a/internal/fleet/planner/planner.go
+++ b/internal/fleet/planner/planner.go
@@ -1,26 +1,20 @@
-// Package planner decides which hosts to ask for and which to give back.
+// Package planner decides which hosts to start and which to stop.
 //
-// # The difference
+// The configuration states how many hosts each pool is to have on behalf of each zone. The
+// planner counts the listed hosts that are not leaving, and those requested and not listed yet.
+// It starts the missing hosts. It stops surplus hosts, the most expensive first, but never
+// while any host is still starting or leaving, as the count is then about to change.
 //
-// The configuration says how many hosts each pool is to have on behalf of each
-// zone. The planner counts those that are there, without the leaving ones, and
-// those asked for and not yet listed. What is missing it asks for; what is too
-// much it gives back, dearest first, but never while anything is still being
-// started or is leaving, as the count is then about to change.
+// A whole wave of reclaims is one difference and gives one plan. Replacing each host on its own
+// timer would request hosts that the next count shows to be surplus, and cost a write for each.
 //
-// A whole wave of reclaims is one difference and gives one plan: replacing each
-// host by itself, on its own timer, would ask for hosts that the next look
-// would show to be too many, and cost a write for each.
-//
-// # Where to ask
-//
-// The own zone's reclaimable hosts come first, then other zones' by price,
-// then on-demand hosts in the same order. A place that refused is left alone
-// until its pause is over. Nothing is asked for beyond the spending limit.
+// Reclaimable hosts of the own zone come first, then those of other zones by price, then
+// on-demand hosts in the same order. A place that refused is not asked until its backoff is
+// over. No host is requested beyond the spending limit.
 //
 // # Usage
 //
-//	plan := planner.Plan(&planner.View{...})
+//	plan := planner.Plan(&planner.Input{...})
 //
 // Plan is a pure function.
 package planner
@@ -35,95 +29,95 @@
 	"brasschute/internal/platform/inventory"
 )
 
-// Place is where a host can be rented.
+// Place is a zone and class in which hosts can be started.
 type Place struct {
 	AvailabilityZone identifier.AvailabilityZone
 	Class            document.Class
 }
 
-// Pending is a host that was asked for and is not listed yet.
+// Pending is a host that was requested and is not listed yet.
 type Pending struct {
 	Pool  identifier.Pool
 	Place Place
 }
 
-// Input is what a plan is made from.
+// Input holds the inputs of [Plan].
 type Input struct {
 	Zone   identifier.AvailabilityZone
 	Pool   identifier.Pool
 	Wanted int
-	// Hosts are all that are listed, in all zones; Leaving tells which have a
+	// Hosts are the listed hosts of all zones; Leaving reports whether a host has a reclaim
 	// notice that the list does not show yet.
 	Hosts   []inventory.Host
 	Leaving func(*inventory.Host) bool
 	Pending []Pending
-	// Refused holds the end of the pause of each place that refused.
+	// Refused holds the end of the backoff of each place that refused.
 	Refused map[Place]time.Time
 	Now     time.Time
 	Prices  []document.Price
-	// SpendingPerHour bounds the price of all hosts together; 0 for no bound.
+	// SpendingPerHour limits the price of all hosts together; 0 means no limit.
 	SpendingPerHour float64
 }
 
-// Decision is what to do, and the count that it came from.
+// Decision holds the hosts to start and stop and the counts it is based on.
 type Decision struct {
 	Start []Place
 	Stop  []identifier.Host
-	// Live, Leaving and Pending count the pool's hosts of the zone.
+	// Live, Leaving and Pending count the pool's hosts on behalf of the zone.
 	Live, Leaving, Pending int
-	// Shortfall counts hosts that no place would give now.
+	// Shortfall counts the hosts that are missing and can't be requested now.
 	Shortfall int
-	// ShortfallReason says what stands in the way of the missing ones.
+	// ShortfallReason states why these hosts can't be requested; empty if there are none.
 	ShortfallReason string
 }
 
-// Plan decides for one pool and zone.
-func Plan(v *Input) Decision {
+// Plan returns the hosts to start and stop for one pool and zone.
+func Plan(in *Input) Decision {
 	var d Decision
 	var own []*inventory.Host
-	for i := range v.Hosts {
-		h := &v.Hosts[i]
+	for i := range in.Hosts {
+		h := &in.Hosts[i]
 		switch {
-		case !belongs(v, h):
-		case h.State == inventory.StateLeaving || v.Leaving(h):
+		case !belongs(in, h):
+		case h.State == inventory.StateLeaving || in.Leaving(h):
 			d.Leaving++
 		default:
 			own = append(own, h)
 		}
 	}
 	d.Live = len(own)
-	for _, p := range v.Pending {
-		if p.Pool == v.Pool {
+	for _, p := range in.Pending {
+		if p.Pool == in.Pool {
 			d.Pending++
 		}
 	}
-	switch missing := v.Wanted - d.Live - d.Pending; {
+	switch missing := in.Wanted - d.Live - d.Pending; {
 	case missing > 0:
-		start(v, &d, missing)
+		planStarts(in, &d, missing)
 	case missing < 0 && d.Pending == 0 && d.Leaving == 0:
-		stop(v, &d, own, -missing)
+		planStops(in, &d, own, -missing)
 	}
 	return d
 }
 
-// belongs tells whether a host is one of the pool's on behalf of the zone.
-func belongs(v *Input, h *inventory.Host) bool {
+// belongs reports whether a host is in the pool on behalf of the zone.
+func belongs(in *Input, h *inventory.Host) bool {
 	owner := h.Owner
 	if owner == "" {
 		owner = h.AvailabilityZone
 	}
-	if owner != v.Zone {
+	if owner != in.Zone {
 		return false
 	}
-	return slices.ContainsFunc(h.Endpoints, func(e inventory.Endpoint) bool { return e.Pool == v.Pool })
+	return slices.ContainsFunc(h.Endpoints, func(e inventory.Endpoint) bool { return e.Pool == in.Pool })
 }
 
-func start(v *Input, d *Decision, missing int) {
-	places := order(v)
-	left := v.SpendingPerHour - spending(v)
+func planStarts(in *Input, d *Decision, missing int) {
+	places := availablePlaces(in)
+	left := in.SpendingPerHour - spending(in)
 	for range missing {
 		i := slices.IndexFunc(places, func(p document.Price) bool {
-			return v.SpendingPerHour == 0 || p.PerHour <= left
+			return in.SpendingPerHour == 0 || p.PerHour <= left
 		})
 		if i < 0 {
 			d.Shortfall++
@@ -138,18 +132,18 @@
 	}
 }
 
-// order lists the places that may be asked now, best first.
-func order(v *Input) []document.Price {
+// availablePlaces returns the prices of the places that may be asked now, best first.
+func availablePlaces(in *Input) []document.Price {
 	var out []document.Price
-	for _, p := range v.Prices {
-		if !v.Now.Before(v.Refused[Place{p.AvailabilityZone, p.Class}]) {
+	for _, p := range in.Prices {
+		if !in.Now.Before(in.Refused[Place{p.AvailabilityZone, p.Class}]) {
 			out = append(out, p)
 		}
 	}
 	slices.SortStableFunc(out, func(a, b document.Price) int {
 		return cmp.Or(
 			cmp.Compare(rank(a.Class == document.ClassReclaimable), rank(b.Class == document.ClassReclaimable)),
-			cmp.Compare(rank(a.AvailabilityZone == v.Zone), rank(b.AvailabilityZone == v.Zone)),
+			cmp.Compare(rank(a.AvailabilityZone == in.Zone), rank(b.AvailabilityZone == in.Zone)),
 			cmp.Compare(a.PerHour, b.PerHour),
 		)
 	})
@@ -163,20 +157,20 @@
 	return 1
 }
 
-// spending adds up the prices of all hosts that are there or asked for.
-func spending(v *Input) float64 {
+// spending returns the hourly price of all listed and requested hosts.
+func spending(in *Input) float64 {
 	sum := 0.0
-	for i := range v.Hosts {
-		sum += price(v, Place{v.Hosts[i].AvailabilityZone, v.Hosts[i].Class})
+	for i := range in.Hosts {
+		sum += price(in, Place{in.Hosts[i].AvailabilityZone, in.Hosts[i].Class})
 	}
-	for _, p := range v.Pending {
-		sum += price(v, p.Place)
+	for _, p := range in.Pending {
+		sum += price(in, p.Place)
 	}
 	return sum
 }
 
-func price(v *Input, p Place) float64 {
-	for _, known := range v.Prices {
+func price(in *Input, p Place) float64 {
+	for _, known := range in.Prices {
 		if known.AvailabilityZone == p.AvailabilityZone && known.Class == p.Class {
 			return known.PerHour
 		}
@@ -184,12 +178,12 @@
 	return 0
 }
 
-// stop gives the dearest back, of equal price those of other zones first.
-func stop(v *Input, d *Decision, own []*inventory.Host, surplus int) {
+// planStops stops the most expensive hosts first, at equal price those of other zones first.
+func planStops(in *Input, d *Decision, own []*inventory.Host, surplus int) {
 	slices.SortStableFunc(own, func(a, b *inventory.Host) int {
 		return cmp.Or(
-			cmp.Compare(price(v, Place{b.AvailabilityZone, b.Class}), price(v, Place{a.AvailabilityZone, a.Class})),
-			cmp.Compare(rank(a.AvailabilityZone != v.Zone), rank(b.AvailabilityZone != v.Zone)),
+			cmp.Compare(price(in, Place{b.AvailabilityZone, b.Class}), price(in, Place{a.AvailabilityZone, a.Class})),
+			cmp.Compare(rank(a.AvailabilityZone != in.Zone), rank(b.AvailabilityZone != in.Zone)),
 			cmp.Compare(a.Host, b.Host),
 		)
 	})
