--- a/internal/fleet/promoter/promoter.go
+++ b/internal/fleet/promoter/promoter.go
@@ -1,32 +1,27 @@
 // Package promoter decides how far a service's roll-out goes: whether the new version of its
 // endpoints is bad, and when the requests move to it.
 //
-// # What decides
+// The answers of endpoints of the new version are compared with those of the old version on the
+// same routes in the same time, by the tallies that package
+// [brasschute/internal/route/splitter] keeps in all daemons. An answer is bad if it failed or
+// was far too slow. A version is reverted if its number of bad answers is too unlikely for a
+// version as good as the old one: on all routes or on one of them, since the order or recently,
+// and not at a single endpoint alone.
 //
-// The answers of endpoints of the new version are compared with those of the old ones, of the
-// same routes in the same time, by package [brasschute/internal/route/splitter]'s tallies of
-// all daemons. An answer is bad if it failed, or came far too slowly. A version is reverted
-// when so many bad ones are too unlikely had it been as good as the old one: over all routes
-// or on one of them, since the order or of late, and not at a single endpoint alone.
+// A bad version must not have had more than its share of the requests by the order's deadline,
+// and a good one must be complete by then. So most requests move as late as they can: for
+// [moveTime] before the old endpoints end, those requests that would outlast them, then all new
+// requests; the version is complete once the old endpoints are idle. Until there are enough
+// answers of each route, or while they look worse than those of the old version, no requests
+// are moved, whatever the deadline.
 //
-// # When it moves
-//
-// A bad version must not have had more than its share by the order's deadline, and a good one
-// must be complete by then. So most requests move as late as they can: those that would
-// outlast the old endpoints for [moveTime] before these end, then all new ones, and the
-// version is complete once the old endpoints have nothing left to do. Until there are enough
-// answers of each route, or while they look worse than the old ones', nothing moves, whatever
-// the deadline.
-//
-// # One holder after another
-//
-// A step is told to all daemons before it is stored, and what is stored goes before what a
-// new holder would decide. It takes the phase from the grants that it has heard, and the
-// tallies, which only rise, from the daemons.
+// A step is sent to all daemons before it is stored, and a stored phase takes precedence over
+// what a new lease holder would decide. A new lease holder takes the phase from the grants that
+// it has received, and the tallies, which only rise, from the daemons.
 //
 // # Usage
 //
-//	p := promoter.New(promoter.Config{Share: 0.1})
+//	p := promoter.New(promoter.Config{MaxShare: 0.1})
 //	for _, step := range p.Step(&promoter.Input{...}) { // several times a second
 //		tell(step.Order, step.Phase, step.Ends)
 //		if step.Store { store(step.Order, step.Phase) }
@@ -43,83 +38,86 @@
 )
 
 const (
-	// moveTime is for how long requests that would outlast the old endpoints go to the new
-	// ones: longer than most answers take.
+	// moveTime is for how long requests that would outlast the old endpoints are sent to the
+	// new ones: longer than most answers take.
 	moveTime = 8 * time.Second
-	// leastMove is the same where the deadline has nearly passed, or has.
-	leastMove = 1500 * time.Millisecond
-	// leastSwitch is how long all new requests go to the new version at the least: news of it
-	// reaches nearly all daemons in half of that.
-	leastSwitch = 300 * time.Millisecond
-	// waitTime is how long the old endpoints are waited for that still run requests; what
-	// runs longer is broken off, or goes on at the new ones where it may.
-	waitTime = 10 * time.Second
-	// leastPart of the old endpoints must be there of the new version before anything moves.
-	leastPart = 0.5
-	// leastAnswers of the new version must have come before anything moves, and leastOfRoute
-	// of each route that has usualRoute of all answers or more. Where many answers of the old
-	// endpoints are bad, bad ones tell less, and perBad times their part of all must have come
-	// besides.
-	leastAnswers = 20
-	leastOfRoute = 12
-	usualRoute   = 0.04
-	perBad       = 100
-	// lately is the span of the newest answers that are looked at besides all.
-	lately = 4 * time.Second
-	// looks is how often the answers are compared.
-	looks = 250 * time.Millisecond
+	// minMoveTime replaces moveTime where the deadline is near or has passed.
+	minMoveTime = 1500 * time.Millisecond
+	// minSwitchTime is the least time for which all new requests go to the new version. Gossip
+	// of it reaches nearly all daemons in half of that.
+	minSwitchTime = 300 * time.Millisecond
+	// maxDrainTime is how long old endpoints with running requests are waited for. Requests
+	// that run longer are broken off, or resumed at the new endpoints where possible.
+	maxDrainTime = 10 * time.Second
+	// minNewFraction is the number of endpoints of the new version, as a fraction of the old
+	// ones, that must be listed before any requests move.
+	minNewFraction = 0.5
+	// minAnswers of the new version are needed before any requests move, and minRouteAnswers on
+	// each route that has at least commonRouteFraction of all answers. Where many answers of
+	// the old version are bad, bad ones tell less, so answersPerBadFraction times their
+	// fraction are needed in addition.
+	minAnswers            = 20
+	minRouteAnswers       = 12
+	commonRouteFraction   = 0.04
+	answersPerBadFraction = 100
+	// recentWindow is the span of the newest answers that are compared in addition to all
+	// answers.
+	recentWindow = 4 * time.Second
+	// compareInterval is how often the answers are compared.
+	compareInterval = 250 * time.Millisecond
 )
 
-// Input is what a step goes by.
+// Input holds the inputs of [Promoter.Step].
 type Input struct {
 	Now    time.Time
 	Orders []splitter.Order
-	// Tallies are those of each daemon's process, by a name of its own, Running what runs at
-	// the old endpoints of each service.
+	// Tallies holds the tallies of each daemon process under a unique name, Running the number
+	// of requests running at the old endpoints of each service.
 	Tallies map[string][]splitter.Tally
 	Running map[identifier.Service]int
-	// Endpoints counts a service's endpoints by version.
+	// Endpoints returns the number of a service's endpoints of each version.
 	Endpoints func(identifier.Service) map[identifier.Version]int
 }
 
-// Step is what the holder tells of an order.
+// Step is what the lease holder announces about an order.
 type Step struct {
 	Order rollout.Rollout
-	// Phase is the one from now on; Ends is when the old endpoints are to end.
+	// Phase is the current phase; Ends is when the old endpoints are to end.
 	Phase rollout.Phase
 	Ends  time.Time
-	// Store: the phase is to be stored, and counts once it is.
+	// Store tells that the phase is to be stored; it takes effect once it is.
 	Store bool
-	// Changed: the phase has changed, for Reason, by Evidence.
-	Changed     bool
+	// Changed tells that the phase has changed, for Reason, on the basis of Evidence.
+	Changed  bool
 	Reason   string
 	Evidence Evidence
 }
 
-// Config says what a bad version may get.
+// Config limits the requests to a bad version.
 type Config struct {
-	// MaxShare of all requests for a service, until an order's deadline.
+	// MaxShare is the largest share of a service's requests that may go to a new version before
+	// an order's deadline.
 	MaxShare float64
 }
 
-// Promoter holds what is known of the orders under way. It is not safe for concurrent use.
+// Promoter holds the state of the orders in progress. It is not safe for concurrent use.
 type Promoter struct {
 	c      Config
 	trials map[uint64]*trial
 }
 
-// New returns a promoter that knows no orders.
+// New returns a Promoter without any orders.
 func New(c Config) *Promoter { return &Promoter{c: c, trials: make(map[uint64]*trial)} }
 
-// trial is one order under way.
+// trial is the state of one order in progress.
 type trial struct {
 	phase rollout.Phase
-	// ends is when the old endpoints are to end.
-	ends time.Time
-	// counts are the highest tallies of each process, ended ones too.
-	counts map[countKey]splitter.Tally
-	looked time.Time
-	// history is what was counted at each look of late, oldest first.
+	// oldEnd is when the old endpoints are to end.
+	oldEnd time.Time
+	// counts are the highest tallies of each process, also of processes that have ended.
+	counts     map[countKey]splitter.Tally
+	comparedAt time.Time
+	// history holds the snapshots of recentWindow, oldest first.
 	history  []snapshot
 	evidence Evidence
 }
@@ -130,7 +128,7 @@
 	endpoint identifier.Endpoint
 }
 
-// Step decides for all orders.
+// Step advances all orders and returns what is to be announced about them.
 func (p *Promoter) Step(in *Input) []Step {
 	var out []Step
 	known := make(map[uint64]bool, len(in.Orders))
@@ -140,13 +138,13 @@
 		known[id] = true
 		t := p.trials[id]
 		if t == nil {
-			t = &trial{counts: make(map[countKey]splitter.Tally), ends: o.OldEndAt}
-			if t.ends.IsZero() {
-				t.ends = o.LearnedAt.Add(o.Duration - o.CutoverLead(p.c.MaxShare))
+			t = &trial{counts: make(map[countKey]splitter.Tally), oldEnd: o.OldEndAt}
+			if t.oldEnd.IsZero() {
+				t.oldEnd = o.LearnedAt.Add(o.Duration - o.CutoverLead(p.c.MaxShare))
 			}
 			p.trials[id] = t
 		}
-		if step, told := t.step(o, in); told {
+		if step, announce := t.step(o, in); announce {
 			out = append(out, step)
 		}
 	}
@@ -158,28 +156,28 @@
 	return out
 }
 
-// step brings one order forward.
+// step advances one order. It returns false if there is nothing to announce.
 func (t *trial) step(o *splitter.Order, in *Input) (Step, bool) {
 	t.phase = max(t.phase, o.Phase)
 	if o.Stored.IsFinal() {
 		return Step{}, false
 	}
-	t.count(o.OrderID(), in.Tallies)
+	t.merge(o.OrderID(), in.Tallies)
 	before := t.phase
 	reason := t.advance(o, in)
 	return Step{
-		Order: o.Rollout, Phase: t.phase, Ends: t.ends, Changed: t.phase != before, Reason: reason, Evidence: t.evidence,
+		Order: o.Rollout, Phase: t.phase, Ends: t.oldEnd, Changed: t.phase != before, Reason: reason, Evidence: t.evidence,
 		Store: t.phase == rollout.Ordered || t.phase.IsFinal(),
 	}, true
 }
 
-// advance takes the next phase if it is time, and says why.
+// advance moves to the next phase if it is due, and returns the reason.
 func (t *trial) advance(o *splitter.Order, in *Input) string {
 	if t.phase.IsFinal() || t.phase == rollout.Ordered {
 		return ""
 	}
-	if in.Now.Sub(t.looked) >= looks {
-		t.looked = in.Now
+	if in.Now.Sub(t.comparedAt) >= compareInterval {
+		t.comparedAt = in.Now
 		t.evidence = t.compare(in.Now)
 	}
 	if t.evidence.RevertReason != "" {
@@ -188,26 +186,26 @@
 	}
 	switch t.phase {
 	case rollout.Trying:
-		if in.Now.Before(t.ends.Add(-moveTime)) {
+		if in.Now.Before(t.oldEnd.Add(-moveTime)) {
 			return ""
 		}
-		if t.lacks(o, in) != "" {
+		if t.holdReason(o, in) != "" {
 			return ""
 		}
 		t.phase = rollout.Moving
-		if earliest := in.Now.Add(leastMove); t.ends.Before(earliest) {
-			t.ends = earliest
+		if earliest := in.Now.Add(minMoveTime); t.oldEnd.Before(earliest) {
+			t.oldEnd = earliest
 		}
 		return fmt.Sprintf("as good as the old version in %d answers", t.evidence.New.Answers)
 	case rollout.Moving:
-		if in.Now.Before(t.ends) {
+		if in.Now.Before(t.oldEnd) {
 			return ""
 		}
 		t.phase = rollout.Switching
 		return "the old endpoints are to end"
 	case rollout.Switching:
-		over := in.Now.Sub(t.ends)
-		if over < leastSwitch || in.Running[o.Service] > 0 && over < waitTime {
+		over := in.Now.Sub(t.oldEnd)
+		if over < minSwitchTime || in.Running[o.Service] > 0 && over < maxDrainTime {
 			return ""
 		}
 		t.phase = rollout.Complete
@@ -216,12 +214,12 @@
 	return ""
 }
 
-// lacks says what must come before requests may move; nothing if they may.
-func (t *trial) lacks(o *splitter.Order, in *Input) string {
+// holdReason returns what prevents requests from moving to the new version, empty if they may.
+func (t *trial) holdReason(o *splitter.Order, in *Input) string {
 	endpoints := in.Endpoints(o.Service)
 	old := o.CountOld(endpoints)
 	switch n := endpoints[o.Target]; {
-	case float64(n) < leastPart*float64(old) || n == 0:
+	case float64(n) < minNewFraction*float64(old) || n == 0:
 		return fmt.Sprintf("%d endpoints of the new version, %d of the old", n, old)
 	case t.evidence.HoldReason != "":
 		return t.evidence.HoldReason
@@ -229,10 +227,11 @@
 	return ""
 }
 
-// HoldReason says what keeps an order from moving on, for whoever looks at it.
+// HoldReason returns what keeps an order in its trial phase, for display; empty if nothing does
+// or the order is not in that phase.
 func (p *Promoter) HoldReason(o *splitter.Order, in *Input) string {
 	if t := p.trials[o.OrderID()]; t != nil && t.phase == rollout.Trying {
-		return t.lacks(o, in)
+		return t.holdReason(o, in)
 	}
 	return ""
 }
--- a/internal/fleet/promoter/promoter_test.go
+++ b/internal/fleet/promoter/promoter_test.go
@@ -9,83 +9,85 @@
 	"brasschute/internal/config/rollout"
 )
 
-// shape is a fleet: daemons, requests a second at each, old endpoints.
-type shape struct {
+// fleet is a simulated fleet: its daemons, the requests per second at each, and its old
+// endpoints.
+type fleet struct {
 	daemons   int
 	perSecond float64
 	old       int
 }
 
-// shapes returns the fleets that are played. The race detector, which the world's one
-// goroutine gives nothing to find, makes the busiest take minutes.
-func shapes() []shape {
-	out := []shape{{8, 4, 12}, {8, 80, 12}, {83, 4, 90}, {195, 4, 156}}
+// fleets returns the simulated fleets. The busiest one is left out under the race detector: it
+// takes minutes, and the simulation has only one goroutine.
+func fleets() []fleet {
+	out := []fleet{{8, 4, 12}, {8, 80, 12}, {83, 4, 90}, {195, 4, 156}}
 	if !raceDetector {
-		out = append(out, shape{83, 80, 90})
+		out = append(out, fleet{83, 80, 90})
 	}
 	return out
 }
 
-// A version that is bad in each way is reverted, and gets no more than its share till then.
+// A version with any of the defects is reverted, and until then gets no more than its share.
 func TestBadVersionsAreReverted(t *testing.T) {
-	for _, shape := range shapes() {
-		for k := range kinds {
-			bad := kinds[k]
+	for _, f := range fleets() {
+		for k := range defects {
+			bad := defects[k]
 			if bad.name == "failures on one route" {
 				bad.route = "letter"
 			}
-			t.Run(fmt.Sprintf("%d at %v, %s", shape.daemons, shape.perSecond, bad.name), func(t *testing.T) {
-				w := newWorld(uint64(k), shape.daemons, shape.old, modelRoutes, &bad, 20*time.Second)
-				w.play(float64(shape.daemons) * shape.perSecond)
-				t.Logf("%d of %d tried, %d bad, stored %v after %v: %s", w.tried, w.sent, w.bads, w.stored, w.storedAt.Sub(w.began), w.reason)
-				w.exposed(t)
+			t.Run(fmt.Sprintf("%d at %v, %s", f.daemons, f.perSecond, bad.name), func(t *testing.T) {
+				sim := newSimulation(uint64(k), f.daemons, f.old, modelRoutes, &bad, 20*time.Second)
+				sim.simulate(float64(f.daemons) * f.perSecond)
+				t.Logf("%d of %d tried, %d bad, stored %v after %v: %s", sim.sentToNew, sim.sent, sim.badAnswers, sim.stored, sim.storedAt.Sub(sim.began), sim.reason)
+				sim.checkExposure(t)
 			})
 		}
 	}
 }
 
-// A good version is complete soon after its deadline, however short: what runs at the old
-// endpoints is waited for. Few daemons with few requests need longer to tell that it is good.
+// A good version is complete soon after its deadline, however short: requests running at the
+// old endpoints are waited for. Few daemons with few requests need longer to show that it is
+// good.
 func TestGoodVersionsAreComplete(t *testing.T) {
-	for _, shape := range shapes()[1:] {
+	for _, f := range fleets()[1:] {
 		for _, d := range []time.Duration{12 * time.Second, 60 * time.Second} {
-			t.Run(fmt.Sprintf("%d at %v, %v", shape.daemons, shape.perSecond, d), func(t *testing.T) {
-				w := newWorld(1, shape.daemons, shape.old, modelRoutes, nil, d)
-				w.play(float64(shape.daemons) * shape.perSecond)
-				t.Logf("%d of %d tried, stored %v after %v, %d broken: %s", w.tried, w.sent, w.stored, w.storedAt.Sub(w.began), w.broken, w.reason)
-				if w.stored != rollout.Complete {
-					t.Errorf("stored %v: %s", w.stored, w.reason)
+			t.Run(fmt.Sprintf("%d at %v, %v", f.daemons, f.perSecond, d), func(t *testing.T) {
+				sim := newSimulation(1, f.daemons, f.old, modelRoutes, nil, d)
+				sim.simulate(float64(f.daemons) * f.perSecond)
+				t.Logf("%d of %d tried, stored %v after %v, %d broken: %s", sim.sentToNew, sim.sent, sim.stored, sim.storedAt.Sub(sim.began), sim.brokenOff, sim.reason)
+				if sim.stored != rollout.Complete {
+					t.Errorf("stored %v: %s", sim.stored, sim.reason)
 				}
-				if most := w.sent / 1000; w.broken > most {
-					t.Errorf("%d requests were broken off, %d are the most", w.broken, most)
+				if most := sim.sent / 1000; sim.brokenOff > most {
+					t.Errorf("%d requests were broken off, %d are the most", sim.brokenOff, most)
 				}
 			})
 		}
 	}
 }
 
-// Half of the answers of one new endpoint fail, or of a tenth of the old ones: neither says
-// anything of the version.
-func TestOneFailingEndpointIsNotTheVersion(t *testing.T) {
+// Half of the answers of one new endpoint fail, and half of those of a tenth of the old
+// endpoints (a twentieth of their answers): neither says anything about the version.
+func TestOneFailingEndpointDoesNotRevert(t *testing.T) {
 	for seed := range uint64(6) {
-		w := newWorld(seed, 83, 90, modelRoutes, nil, 20*time.Second)
-		w.grey, w.oldFails = newVersion+"-0", 0.05
-		w.play(332)
-		if w.stored == rollout.Reverted {
-			t.Errorf("seed %d: reverted for %s", seed, w.reason)
+		sim := newSimulation(seed, 83, 90, modelRoutes, nil, 20*time.Second)
+		sim.failingEndpoint, sim.oldFailureFraction = newVersion+"-0", 0.05
+		sim.simulate(332)
+		if sim.stored == rollout.Reverted {
+			t.Errorf("seed %d: reverted for %s", seed, sim.reason)
 		}
 	}
 }
 
-// verdicts counts, over some seeds, how an order of a plain service of four endpoints and of a
-// model service ends for a version that is good or bad in each way.
-func verdicts(t *testing.T, seeds uint64, bad *badness, routes []testRoute, old int) (reverted, complete int) {
+// verdicts counts over a number of seeds how orders end for a good version (bad is nil) or for
+// a version with the given defect.
+func verdicts(t *testing.T, seeds uint64, bad *defect, routes []testRoute, old int) (reverted, complete int) {
 	t.Helper()
 	for seed := range seeds {
-		w := newWorld(100+seed, 83, old, routes, bad, 20*time.Second)
-		w.play(110)
-		w.exposed(t)
-		switch w.stored {
+		sim := newSimulation(100+seed, 83, old, routes, bad, 20*time.Second)
+		sim.simulate(110)
+		sim.checkExposure(t)
+		switch sim.stored {
 		case rollout.Reverted:
 			reverted++
 		case rollout.Complete:
@@ -95,10 +97,10 @@
 	return reverted, complete
 }
 
-// seeds is how many orders of each kind are played; by hand 200 (docs/design).
-var seeds = flag.Uint64("seeds", 4, "orders of each kind that are played")
+// seeds is how many orders of each kind are simulated; the figures in docs/design use 200.
+var seeds = flag.Uint64("seeds", 4, "number of simulated orders of each kind")
 
-// How often good versions are reverted and bad ones are not.
+// Logs how often good versions are reverted, and fails if any bad one becomes complete.
 func TestVerdicts(t *testing.T) {
 	for _, service := range []struct {
 		name   string
@@ -107,8 +109,8 @@
 	}{{"model", modelRoutes, 90}, {"plain", plainRoutes, 4}} {
 		reverted, complete := verdicts(t, *seeds, nil, service.routes, service.old)
 		t.Logf("%s, good: %d reverted, %d complete of %d", service.name, reverted, complete, *seeds)
-		for k := range kinds {
-			bad := kinds[k]
+		for k := range defects {
+			bad := defects[k]
 			if bad.name == "failures on one route" {
 				bad.route = service.routes[1].name
 			}
--- a/internal/fleet/promoter/race_test.go
+++ b/internal/fleet/promoter/race_test.go
@@ -2,5 +2,5 @@
 
 package promoter
 
-// raceDetector tells whether the tests run under the race detector.
+// raceDetector reports whether the tests run under the race detector.
 const raceDetector = true
--- a/internal/fleet/promoter/simulation_test.go
+++ b/internal/fleet/promoter/simulation_test.go
@@ -11,29 +11,29 @@
 	"brasschute/internal/route/splitter"
 )
 
-// The platform's terms of the tests, and its engines.
+// The limits of the platform in the tests, and the timing of its engines and clients.
 const (
-	share       = 0.1
-	slack       = 50
-	revertTime  = 5 * time.Second
-	bootTime    = 4500 * time.Millisecond
-	oldVersion  = "v1"
-	newVersion  = "v2"
-	service     = identifier.Service("lm")
-	tick        = 20 * time.Millisecond
-	newsLeast   = 150 * time.Millisecond
-	newsSpread  = 1200 * time.Millisecond
-	clientsWait = 4 * time.Second
+	canaryShare    = 0.1
+	canarySlack    = 50
+	revertTime     = 5 * time.Second
+	bootTime       = 4500 * time.Millisecond
+	oldVersion     = "v1"
+	newVersion     = "v2"
+	service        = identifier.Service("lm")
+	tick           = 20 * time.Millisecond
+	minGossipDelay = 150 * time.Millisecond
+	gossipSpread   = 1200 * time.Millisecond
+	clientTimeout  = 4 * time.Second
 )
 
-// testRoute is one route of a service: its part of the requests, how long its answers take,
-// and which of them fail by themselves.
+// testRoute is one route of a service: its share of the requests, how long its answers take,
+// and the fraction of them that fail with any version.
 type testRoute struct {
-	name   string
-	part   float64
-	takes  time.Duration
-	spread float64
-	fails  float64
+	name            string
+	share           float64
+	duration        time.Duration
+	spread          float64
+	failureFraction float64
 }
 
 var modelRoutes = []testRoute{
@@ -47,146 +47,149 @@
 	{"lookup", 0.19, 35 * time.Millisecond, 0.4, 0.14},
 }
 
-// badness is in which way a version is bad.
-type badness struct {
+// defect is a way in which a version is bad.
+type defect struct {
 	name string
-	// fails and slow are parts of its answers; slow ones take slower times as long.
-	fails, slow, slower float64
-	// from is how long after the order it begins.
+	// failureFraction and slowFraction are fractions of its answers; slow ones take slowFactor
+	// times as long.
+	failureFraction, slowFraction, slowFactor float64
+	// from is how long after the order the defect begins.
 	from time.Duration
-	// route, if not empty, is the only one; loaded: only endpoints that run loadedFrom
-	// requests or more at once.
+	// route, if not empty, is the only affected route. If loaded is set, only endpoints that
+	// run at least loadedFrom requests at once are affected.
 	route  string
 	loaded bool
 }
 
-var kinds = []badness{
-	{name: "failures at once", fails: 0.4},
-	{name: "slow at once", slow: 0.7, slower: 6},
-	{name: "failures later", fails: 0.5, from: 7 * time.Second},
-	{name: "slow later", slow: 0.8, slower: 6, from: 7 * time.Second},
-	{name: "failures on one route", fails: 0.6},
-	{name: "failures under load", fails: 0.5, loaded: true},
+var defects = []defect{
+	{name: "failures at once", failureFraction: 0.4},
+	{name: "slow at once", slowFraction: 0.7, slowFactor: 6},
+	{name: "failures later", failureFraction: 0.5, from: 7 * time.Second},
+	{name: "slow later", slowFraction: 0.8, slowFactor: 6, from: 7 * time.Second},
+	{name: "failures on one route", failureFraction: 0.6},
+	{name: "failures under load", failureFraction: 0.5, loaded: true},
 }
 
-// world is a fleet of daemons before endpoints of two versions, in time of its own.
-type world struct {
+// simulation is a fleet of daemons with endpoints of two versions, in simulated time.
+type simulation struct {
 	now    time.Time
 	random *rand.Rand
 	routes []testRoute
-	bad    *badness
+	defect *defect
 	old    int
 
 	order    *rollout.Rollout
 	began    time.Time
 	daemons  []*splitter.Splitter
 	promoter *Promoter
-	mail     []letter
-	running  []run
+	messages []message
+	running  []runningRequest
 	load     map[identifier.Endpoint]int
 
 	stored   rollout.Phase
 	storedAt time.Time
 	beat     uint64
-	// sent and tried count requests until the deadline, to the new version the latter; bads
-	// counts bad answers, fiftieth is when the 50th came, late what was sent long after.
-	sent, tried, bads, late int
-	fiftieth                time.Time
-	// broken counts requests that ran at old endpoints when these ended.
-	broken int
-	// holderless until: nobody holds the duties.
-	holderless time.Time
-	// oldFails is the part of the old endpoints' answers that fail, grey an endpoint of which
-	// half do.
-	oldFails float64
-	grey     identifier.Endpoint
-	told     map[string][]splitter.Tally
-	ran      map[string]int
-	reason   string
+	// sent and sentToNew count all requests until the deadline and those to the new version.
+	// badAnswers counts bad answers, fiftiethBadAt is when the 50th arrived, and lateToNew
+	// counts requests sent to the new version more than revertTime after it.
+	sent, sentToNew, badAnswers, lateToNew int
+	fiftiethBadAt                          time.Time
+	// brokenOff counts requests that ran at old endpoints when these ended.
+	brokenOff int
+	// noHolderUntil is until when no daemon holds the lease.
+	noHolderUntil time.Time
+	// oldFailureFraction is the fraction of the old endpoints' answers that fail; of those of
+	// failingEndpoint half fail.
+	oldFailureFraction float64
+	failingEndpoint    identifier.Endpoint
+	tallies            map[string][]splitter.Tally
+	runningOld         map[string]int
+	reason             string
 }
 
-type letter struct {
+type message struct {
 	at time.Time
 	do func()
 }
 
-type run struct {
+type runningRequest struct {
 	ends    time.Time
 	daemon  int
 	r       splitter.Run
 	version identifier.Version
 }
 
-func newWorld(seed uint64, daemons, old int, routes []testRoute, bad *badness, d time.Duration) *world {
-	w := &world{
-		now: time.Unix(1e9, 0), random: rand.New(rand.NewPCG(seed, 9)), routes: routes, bad: bad, old: old, promoter: New(Config{MaxShare: share}),
-		load: make(map[identifier.Endpoint]int), told: make(map[string][]splitter.Tally), ran: make(map[string]int),
+func newSimulation(seed uint64, daemons, old int, routes []testRoute, bad *defect, d time.Duration) *simulation {
+	sim := &simulation{
+		now: time.Unix(1e9, 0), random: rand.New(rand.NewPCG(seed, 9)), routes: routes, defect: bad, old: old, promoter: New(Config{MaxShare: canaryShare}),
+		load: make(map[identifier.Endpoint]int), tallies: make(map[string][]splitter.Tally), runningOld: make(map[string]int),
 		order: &rollout.Rollout{Service: service, Target: newVersion, Duration: d, Revision: 1},
 	}
 	for range daemons {
 		s := splitter.New(splitter.Config{
-			CanaryShare: share, CanarySlack: slack, RollbackTime: revertTime, Daemons: func() int { return daemons }, Now: func() time.Time { return w.now },
-			Random: w.random.Float64, Endpoints: w.endpoints,
+			CanaryShare: canaryShare, CanarySlack: canarySlack, RollbackTime: revertTime, Daemons: func() int { return daemons }, Now: func() time.Time { return sim.now },
+			Random: sim.random.Float64, Endpoints: sim.endpoints,
 		})
 		s.ApplyOrders(nil, "store")
-		w.daemons = append(w.daemons, s)
+		sim.daemons = append(sim.daemons, s)
 	}
-	w.began = w.now
-	for _, s := range w.daemons {
-		w.post(func() { s.ApplyOrders(map[identifier.Service]*rollout.Rollout{service: w.order}, "store") })
+	sim.began = sim.now
+	for _, s := range sim.daemons {
+		sim.gossip(func() { s.ApplyOrders(map[identifier.Service]*rollout.Rollout{service: sim.order}, "store") })
 	}
-	return w
+	return sim
 }
 
-// post delivers something after the time that news takes.
-func (w *world) post(do func()) {
-	w.mail = append(w.mail, letter{w.now.Add(newsLeast + time.Duration(w.random.Float64()*float64(newsSpread))), do})
+// gossip delivers a message after a random gossip delay.
+func (sim *simulation) gossip(do func()) {
+	sim.messages = append(sim.messages, message{sim.now.Add(minGossipDelay + time.Duration(sim.random.Float64()*float64(gossipSpread))), do})
 }
 
-func (w *world) endpoints(identifier.Service) map[identifier.Version]int {
-	out := map[identifier.Version]int{oldVersion: w.old}
-	if w.now.Sub(w.began) > bootTime {
-		out[newVersion] = w.old
+func (sim *simulation) endpoints(identifier.Service) map[identifier.Version]int {
+	out := map[identifier.Version]int{oldVersion: sim.old}
+	if sim.now.Sub(sim.began) > bootTime {
+		out[newVersion] = sim.old
 	}
-	if w.stored == rollout.Complete {
+	if sim.stored == rollout.Complete {
 		delete(out, oldVersion)
 	}
 	return out
 }
 
-// play plays so many requests a second in all until some time after the deadline.
-func (w *world) play(perSecond float64) {
-	for w.now.Sub(w.began) < w.order.Duration+6*time.Second {
-		w.now = w.now.Add(tick)
-		w.deliver()
-		w.end()
-		for n := perSecond * tick.Seconds(); n > w.random.Float64(); n-- {
-			w.send()
+// simulate runs the given number of requests per second, over all daemons, until 6 s after the
+// deadline.
+func (sim *simulation) simulate(perSecond float64) {
+	for sim.now.Sub(sim.began) < sim.order.Duration+6*time.Second {
+		sim.now = sim.now.Add(tick)
+		sim.deliver()
+		sim.endRequests()
+		for n := perSecond * tick.Seconds(); n > sim.random.Float64(); n-- {
+			sim.sendRequest()
 		}
-		if w.now.UnixNano()%int64(100*time.Millisecond) < int64(tick) {
-			w.hold()
+		if sim.now.UnixNano()%int64(100*time.Millisecond) < int64(tick) {
+			sim.stepHolder()
 		}
-		if w.now.UnixNano()%int64(400*time.Millisecond) < int64(tick) {
-			w.tell()
+		if sim.now.UnixNano()%int64(400*time.Millisecond) < int64(tick) {
+			sim.reportTallies()
 		}
 	}
 }
 
-func (w *world) deliver() {
-	left := w.mail[:0:0]
-	for _, l := range w.mail {
-		if l.at.After(w.now) {
-			left = append(left, l)
+func (sim *simulation) deliver() {
+	left := sim.messages[:0:0]
+	for _, m := range sim.messages {
+		if m.at.After(sim.now) {
+			left = append(left, m)
 			continue
 		}
-		l.do()
+		m.do()
 	}
-	w.mail = left
+	sim.messages = left
 }
 
-// tell lets the holder hear of all daemons.
-func (w *world) tell() {
-	for i, s := range w.daemons {
+// reportTallies sends the tallies of all daemons to the lease holder.
+func (sim *simulation) reportTallies() {
+	for i, s := range sim.daemons {
 		tallies := s.Tallies()
 		n := 0
 		for _, t := range tallies {
@@ -194,176 +197,178 @@
 				n += t.Sent - t.Ended
 			}
 		}
-		w.post(func() { w.told[fmt.Sprint(i)], w.ran[fmt.Sprint(i)] = tallies, n })
+		sim.gossip(func() { sim.tallies[fmt.Sprint(i)], sim.runningOld[fmt.Sprint(i)] = tallies, n })
 	}
 }
 
-// hold is a step of the holder of the duties, which is the first daemon.
-func (w *world) hold() {
-	if w.now.Before(w.holderless) {
+// stepHolder is a step of the lease holder, which is the first daemon.
+func (sim *simulation) stepHolder() {
+	if sim.now.Before(sim.noHolderUntil) {
 		return
 	}
-	in := &Input{Now: w.now, Orders: w.daemons[0].Orders(), Tallies: w.told, Endpoints: w.endpoints, Running: make(map[identifier.Service]int)}
-	for _, n := range w.ran {
+	in := &Input{Now: sim.now, Orders: sim.daemons[0].Orders(), Tallies: sim.tallies, Endpoints: sim.endpoints, Running: make(map[identifier.Service]int)}
+	for _, n := range sim.runningOld {
 		in.Running[service] += n
 	}
-	for _, step := range w.promoter.Step(in) {
+	for _, step := range sim.promoter.Step(in) {
 		if step.Changed && step.Reason != "" {
-			w.reason = step.Reason
+			sim.reason = step.Reason
 		}
-		w.beat++
+		sim.beat++
 		g := splitter.Grant{
-			Service: service, Target: newVersion, Order: step.Order.OrderID(), Phase: step.Phase, Fencing: 1, Sequence: w.beat, IssuedAt: w.now, OldEndAt: step.Ends,
+			Service: service, Target: newVersion, Order: step.Order.OrderID(), Phase: step.Phase, Fencing: 1, Sequence: sim.beat, IssuedAt: sim.now, OldEndAt: step.Ends,
 		}
 		if g.Phase == rollout.Complete {
 			g.Phase = rollout.Switching
 		}
-		w.daemons[0].ApplyGrant(&g, "holder")
-		each := w.post
+		sim.daemons[0].ApplyGrant(&g, "holder")
+		deliver := sim.gossip
 		if step.Changed {
-			each = func(do func()) {
-				w.mail = append(w.mail, letter{w.now.Add(time.Duration(w.random.Float64() * float64(300*time.Millisecond))), do})
+			deliver = func(do func()) {
+				sim.messages = append(sim.messages, message{sim.now.Add(time.Duration(sim.random.Float64() * float64(300*time.Millisecond))), do})
 			}
 		}
-		for _, s := range w.daemons[1:] {
-			each(func() { s.ApplyGrant(&g, "holder") })
+		for _, s := range sim.daemons[1:] {
+			deliver(func() { s.ApplyGrant(&g, "holder") })
 		}
-		if step.Store && step.Phase > w.stored || step.Phase == rollout.Ordered && w.stored == rollout.Ordered {
-			w.store(max(step.Phase, rollout.Trying))
+		if step.Store && step.Phase > sim.stored || step.Phase == rollout.Ordered && sim.stored == rollout.Ordered {
+			sim.storePhase(max(step.Phase, rollout.Trying))
 		}
 	}
 }
 
-// store writes the phase; what ran at old endpoints when it is complete is broken off.
-func (w *world) store(p rollout.Phase) {
-	w.stored, w.storedAt = p, w.now
-	next := *w.order
+// storePhase stores the phase. Requests that run at old endpoints when it is complete are
+// broken off.
+func (sim *simulation) storePhase(p rollout.Phase) {
+	sim.stored, sim.storedAt = p, sim.now
+	next := *sim.order
 	next.Revision++
 	next.Stored, next.Phase = p, p
-	w.order = &next
-	w.daemons[0].ApplyOrders(map[identifier.Service]*rollout.Rollout{service: &next}, "store")
-	for _, s := range w.daemons[1:] {
-		w.post(func() { s.ApplyOrders(map[identifier.Service]*rollout.Rollout{service: &next}, "store") })
+	sim.order = &next
+	sim.daemons[0].ApplyOrders(map[identifier.Service]*rollout.Rollout{service: &next}, "store")
+	for _, s := range sim.daemons[1:] {
+		sim.gossip(func() { s.ApplyOrders(map[identifier.Service]*rollout.Rollout{service: &next}, "store") })
 	}
 	if p != rollout.Complete {
 		return
 	}
-	for _, r := range w.running {
+	for _, r := range sim.running {
 		if r.version == oldVersion {
-			w.broken++
+			sim.brokenOff++
 		}
 	}
 }
 
-// send sends one request of a random route at a random daemon.
-func (w *world) send() {
-	i := w.random.IntN(len(w.daemons))
-	draw, route := w.random.Float64(), &w.routes[len(w.routes)-1]
-	for k := range w.routes {
-		if draw -= w.routes[k].part; draw < 0 {
-			route = &w.routes[k]
+// sendRequest sends one request on a random route to a random daemon.
+func (sim *simulation) sendRequest() {
+	i := sim.random.IntN(len(sim.daemons))
+	draw, route := sim.random.Float64(), &sim.routes[len(sim.routes)-1]
+	for k := range sim.routes {
+		if draw -= sim.routes[k].share; draw < 0 {
+			route = &sim.routes[k]
 			break
 		}
 	}
-	s := w.daemons[i]
-	takes := time.Duration(float64(route.takes) * (1 + route.spread*(2*w.random.Float64()-1)))
-	v := s.Choose(&splitter.Query{Service: service, Route: route.name, MaxDuration: 2 * route.takes})
-	endpoints := w.endpoints(service)
-	version, few := identifier.Version(oldVersion), endpoints[oldVersion]
-	if v.Only != "" || few == 0 {
-		version, few = newVersion, endpoints[newVersion]
+	s := sim.daemons[i]
+	duration := time.Duration(float64(route.duration) * (1 + route.spread*(2*sim.random.Float64()-1)))
+	v := s.Choose(&splitter.Query{Service: service, Route: route.name, MaxDuration: 2 * route.duration})
+	endpoints := sim.endpoints(service)
+	version, count := identifier.Version(oldVersion), endpoints[oldVersion]
+	if v.Only != "" || count == 0 {
+		version, count = newVersion, endpoints[newVersion]
 		if v.MaxEndpoints > 0 {
-			few = min(few, v.MaxEndpoints)
+			count = min(count, v.MaxEndpoints)
 		}
 	}
-	if few == 0 {
+	if count == 0 {
 		if v.AllowFallback {
 			s.Fallback(service, &v)
 		}
-		version, few = oldVersion, w.old
+		version, count = oldVersion, sim.old
 	}
-	w.run(i, route, version, identifier.Endpoint(fmt.Sprint(version, "-", w.random.IntN(few))), takes)
+	sim.runRequest(i, route, version, identifier.Endpoint(fmt.Sprint(version, "-", sim.random.IntN(count))), duration)
 }
 
-// loadedFrom is how many requests an endpoint runs that counts as loaded: half of what an
-// old one does.
-func (w *world) loadedFrom() int {
+// loadedFrom is the number of running requests from which an endpoint counts as loaded: half of
+// what an old endpoint runs on average.
+func (sim *simulation) loadedFrom() int {
 	n := 0
-	for e, load := range w.load {
+	for e, load := range sim.load {
 		if e[1] == oldVersion[1] {
 			n += load
 		}
 	}
-	return n / max(w.old, 1) / 2
+	return n / max(sim.old, 1) / 2
 }
 
-func (w *world) run(daemon int, route *testRoute, version identifier.Version, e identifier.Endpoint, takes time.Duration) {
-	since := w.now.Sub(w.began)
-	r := splitter.Run{Service: service, Route: route.name, Endpoint: e, Version: version, Outcome: splitter.Answered, Expected: route.takes}
-	if route.takes < 100*time.Millisecond {
+func (sim *simulation) runRequest(daemon int, route *testRoute, version identifier.Version, e identifier.Endpoint, duration time.Duration) {
+	since := sim.now.Sub(sim.began)
+	r := splitter.Run{Service: service, Route: route.name, Endpoint: e, Version: version, Outcome: splitter.Answered, Expected: route.duration}
+	if route.duration < 100*time.Millisecond {
 		r.Expected = 0
 	}
-	if w.random.Float64() < route.fails || version == oldVersion && w.random.Float64() < w.oldFails {
+	if sim.random.Float64() < route.failureFraction || version == oldVersion && sim.random.Float64() < sim.oldFailureFraction {
 		r.Outcome = splitter.Failed
 	}
-	if e == w.grey && w.random.IntN(2) == 0 {
+	if e == sim.failingEndpoint && sim.random.IntN(2) == 0 {
 		r.Outcome = splitter.Failed
 	}
 	bad := false
-	if b := w.bad; version == newVersion && b != nil && since > b.from && (b.route == "" || b.route == route.name) &&
-		(!b.loaded || w.load[e] >= w.loadedFrom()) {
-		switch draw := w.random.Float64(); {
-		case draw < b.fails:
+	if b := sim.defect; version == newVersion && b != nil && since > b.from && (b.route == "" || b.route == route.name) &&
+		(!b.loaded || sim.load[e] >= sim.loadedFrom()) {
+		switch draw := sim.random.Float64(); {
+		case draw < b.failureFraction:
 			r.Outcome, bad = splitter.Failed, true
-		case draw < b.fails+b.slow:
-			takes, bad = time.Duration(b.slower*float64(takes)), true
+		case draw < b.failureFraction+b.slowFraction:
+			duration, bad = time.Duration(b.slowFactor*float64(duration)), true
 		}
 	}
-	if since < w.order.Duration {
-		w.sent++
+	if since < sim.order.Duration {
+		sim.sent++
 	}
 	if version == newVersion {
-		if since < w.order.Duration {
-			w.tried++
+		if since < sim.order.Duration {
+			sim.sentToNew++
 		}
-		if !w.fiftieth.IsZero() && w.now.Sub(w.fiftieth) > revertTime {
-			w.late++
+		if !sim.fiftiethBadAt.IsZero() && sim.now.Sub(sim.fiftiethBadAt) > revertTime {
+			sim.lateToNew++
 		}
 	}
-	r.Elapsed = takes
-	if takes > clientsWait {
-		r.Elapsed, r.Abandoned = clientsWait, true
+	r.Elapsed = duration
+	if duration > clientTimeout {
+		r.Elapsed, r.Abandoned = clientTimeout, true
 	}
-	w.load[e]++
-	w.daemons[daemon].RunStarted(&r)
-	w.running = append(w.running, run{w.now.Add(r.Elapsed), daemon, r, version})
+	sim.load[e]++
+	sim.daemons[daemon].RunStarted(&r)
+	sim.running = append(sim.running, runningRequest{sim.now.Add(r.Elapsed), daemon, r, version})
 	if bad {
-		if w.bads++; w.bads == 50 {
-			w.fiftieth = w.now.Add(r.Elapsed)
+		if sim.badAnswers++; sim.badAnswers == 50 {
+			sim.fiftiethBadAt = sim.now.Add(r.Elapsed)
 		}
 	}
 }
 
-func (w *world) end() {
-	left := w.running[:0]
-	for _, r := range w.running {
-		if r.ends.After(w.now) {
+func (sim *simulation) endRequests() {
+	left := sim.running[:0]
+	for _, r := range sim.running {
+		if r.ends.After(sim.now) {
 			left = append(left, r)
 			continue
 		}
-		w.load[r.r.Endpoint]--
-		w.daemons[r.daemon].RunEnded(&r.r)
+		sim.load[r.r.Endpoint]--
+		sim.daemons[r.daemon].RunEnded(&r.r)
 	}
-	w.running = left
+	sim.running = left
 }
 
-// exposed fails if a bad version got more than its share, or was used long after it showed.
-func (w *world) exposed(t *testing.T) {
+// checkExposure fails the test if a bad version got more than its share of the requests, or was
+// used for longer than revertTime after its 50th bad answer.
+func (sim *simulation) checkExposure(t *testing.T) {
 	t.Helper()
-	if most := share*float64(w.sent) + slack; float64(w.tried) > most {
-		t.Errorf("%d of %d requests went to the new version, %.0f are the most; stored %v (%s)", w.tried, w.sent, most, w.stored, w.reason)
+	if most := canaryShare*float64(sim.sent) + canarySlack; float64(sim.sentToNew) > most {
+		t.Errorf("%d of %d requests went to the new version, %.0f are the most; stored %v (%s)", sim.sentToNew, sim.sent, most, sim.stored, sim.reason)
 	}
-	if w.late > 0 {
-		t.Errorf("%d requests went to it later than %v after its 50th bad answer; stored %v", w.late, revertTime, w.stored)
+	if sim.lateToNew > 0 {
+		t.Errorf("%d requests went to it later than %v after its 50th bad answer; stored %v", sim.lateToNew, revertTime, sim.stored)
 	}
 }
