--- a/internal/fleet/reconciler/reconciler.go
+++ b/internal/fleet/reconciler/reconciler.go
@@ -1,18 +1,13 @@
-// Package reconciler brings a zone's engines to their wanted state.
+// Package reconciler makes a zone's engines load the models that the configuration names for
+// their pools.
 //
-// # What it does now
+// The holder of a zone's lease asks each engine of the zone which model it has loaded, and
+// orders the wanted one where it differs. In one round it changes at most a quarter of a pool's
+// engines that serve another model, so that enough of the old one stay in service during a
+// roll-out. Engines without a model come first, and all loads keep within the configured rate.
 //
-// The configuration names the model of each pool. The leader of a zone asks
-// each engine of the zone what it has loaded and orders what differs. In one
-// round it changes at most a quarter of a pool's engines that serve another
-// version, so that a rollout leaves enough of the old one serving. Engines
-// without a model come first, and all loads keep within the configured rate.
-//
-// # Orders of two leaders
-//
-// Each order bears the fencing number of the lease, which is checked right
-// before sending; see package leaser. An order states the wanted model, so
-// giving it twice changes nothing.
+// Each order carries the fencing number of the lease, which is checked right before sending;
+// see package leaser. An order states the wanted model, so repeating it changes nothing.
 //
 // # Usage
 //
@@ -42,17 +37,17 @@
 
 const (
 	defaultPeriod = time.Second
-	// rolloutPart bounds the engines of a pool that change in one round.
-	rolloutPart = 4
+	// One round changes at most 1/rolloutDivisor of a pool's engines.
+	rolloutDivisor = 4
 )
 
-// Lease tells whether this controller leads.
+// Lease reports whether this controller holds the zone's lease; see package leaser.
 type Lease interface {
 	Held() (fencing uint64, held bool)
 	HeldFor() (fencing uint64, held bool)
 }
 
-// Config names the reconciler's collaborators.
+// Config holds the dependencies of a [Reconciler].
 type Config struct {
 	Host     identifier.Host
 	Zone     identifier.AvailabilityZone
@@ -65,13 +60,13 @@
 	Period   time.Duration
 }
 
-// Reconciler works while its controller leads.
+// Reconciler sends model orders while its controller holds the zone's lease.
 type Reconciler struct {
 	c     Config
 	loads *rate.Limiter
 }
 
-// New returns a reconciler.
+// New returns a Reconciler. A Period of 0 means one second.
 func New(c Config) *Reconciler {
 	if c.Period == 0 {
 		c.Period = defaultPeriod
@@ -79,37 +74,37 @@
 	return &Reconciler{c: c}
 }
 
-// Serve reconciles until ctx ends.
+// Serve runs a round every Period until ctx ends.
 func (r *Reconciler) Serve(ctx context.Context) error {
-	return waiter.Every(ctx, r.c.Period, r.round)
+	return waiter.Every(ctx, r.c.Period, r.reconcile)
 }
 
-func (r *Reconciler) round(ctx context.Context) {
+func (r *Reconciler) reconcile(ctx context.Context) {
 	s := r.c.Keeper.Current()
 	if _, held := r.c.Lease.Held(); !held || s == nil {
 		return
 	}
-	r.limit(s.Plan.Configuration.Fleet.LoadsPerMinute)
+	r.setLoadRate(s.Plan.Configuration.Fleet.LoadsPerMinute)
 	endpoints := r.c.Registry.Endpoints()
 	var idle, other []task
 	for i := range s.Plan.Configuration.Pools {
 		if p := &s.Plan.Configuration.Pools[i]; p.Model != "" {
-			a, b := r.pool(ctx, p, endpoints)
+			a, b := r.poolTasks(ctx, p, endpoints)
 			idle, other = append(idle, a...), append(other, b...)
 		}
 	}
-	// Engines without any model serve nobody yet: they come first.
+	// Engines without a model can't serve any requests yet, so they come first.
 	for _, t := range append(idle, other...) {
 		if !r.loads.Allow() {
 			return
 		}
-		r.order(ctx, &t)
+		r.sendOrder(ctx, &t)
 	}
 }
 
-// limit brings the rate of loads in line with the configuration. A change
-// starts with an empty allowance, so that it does not grant a burst.
-func (r *Reconciler) limit(perMinute int) {
+// setLoadRate sets the rate of model loads to the configured one, unlimited if it is 0. A
+// changed limiter starts with its burst of one load, so that a change grants no larger burst.
+func (r *Reconciler) setLoadRate(perMinute int) {
 	want := rate.Inf
 	if perMinute > 0 {
 		want = rate.Limit(float64(perMinute) / time.Minute.Seconds())
@@ -121,14 +116,14 @@
 
 // task is an engine that is to load another model.
 type task struct {
-	pool     *document.Pool
-	endpoint candidate.Candidate
-	had      string
+	pool        *document.Pool
+	endpoint    candidate.Candidate
+	loadedModel string
 }
 
-// pool lists the engines that lack the wanted model: those that have none, and
-// as many of the others as a rollout may change at once.
-func (r *Reconciler) pool(ctx context.Context, p *document.Pool, endpoints []candidate.Candidate) (idle, other []task) {
+// poolTasks returns the engines of a pool without any model, and as many of those with another
+// model as may change at once.
+func (r *Reconciler) poolTasks(ctx context.Context, p *document.Pool, endpoints []candidate.Candidate) (idle, other []task) {
 	count := 0
 	for i := range endpoints {
 		c := &endpoints[i]
@@ -145,11 +140,11 @@
 			other = append(other, task{p, *c, load.Model})
 		}
 	}
-	return idle, other[:min(len(other), max(count/rolloutPart, 1))]
+	return idle, other[:min(len(other), max(count/rolloutDivisor, 1))]
 }
 
-// order gives the order, if the lease still allows it.
-func (r *Reconciler) order(ctx context.Context, t *task) {
+// sendOrder sends the order if the lease still permits it.
+func (r *Reconciler) sendOrder(ctx context.Context, t *task) {
 	fencing, held := r.c.Lease.Held()
 	if !t.pool.HonoursFencing {
 		fencing, held = r.c.Lease.HeldFor()
@@ -158,10 +153,10 @@
 		return
 	}
 	err := r.c.Caller.Order(ctx, t.endpoint.Address, &order.Order{FencingNumber: fencing, Model: t.pool.Model})
-	r.note(ctx, t.pool, &t.endpoint, t.had, fencing, err)
+	r.audit(ctx, t.pool, &t.endpoint, t.loadedModel, fencing, err)
 }
 
-func (r *Reconciler) note(ctx context.Context, p *document.Pool, c *candidate.Candidate, had string, fencing uint64, err error) {
+func (r *Reconciler) audit(ctx context.Context, p *document.Pool, c *candidate.Candidate, loadedModel string, fencing uint64, err error) {
 	outcome := "done"
 	if err != nil {
 		outcome = err.Error()
@@ -169,10 +164,10 @@
 	e := auditor.Entry{
 		When: time.Now().UTC(), Who: fmt.Sprintf("%s (lease %d)", r.c.Host, fencing), Host: c.Host,
 		What: fmt.Sprintf("load %s on %s", p.Model, c.Endpoint), Outcome: outcome, ID: uuid.NewString(),
-		Cause: fmt.Sprintf("configuration %d wants %s in pool %s, found %q", r.c.Keeper.Number(), p.Model, p.Name, had),
+		Cause: fmt.Sprintf("configuration %d wants %s in pool %s, found %q", r.c.Keeper.Number(), p.Model, p.Name, loadedModel),
 	}
 	r.c.Logger.Info("order", "endpoint", c.Endpoint, "model", p.Model, "fencing", fencing, "outcome", outcome)
 	if err := r.c.Trail.Add(ctx, e); err != nil {
-		r.c.Logger.Warn("the trail could not be written", "error", err)
+		r.c.Logger.Warn("writing the audit trail failed", "error", err)
 	}
 }
