--- a/internal/fleet/leaser/hosted_test.go
+++ b/internal/fleet/leaser/hosted_test.go
@@ -10,19 +10,19 @@
 	"brasschute/internal/platform/object"
 )
 
-// The holder's process is killed and starts again on its host within half a
-// second. To wait until its own old lease lapses would leave the duties undone
-// for nothing: the two are one holder.
-func TestNextProcessOfTheHolderTakesOver(t *testing.T) {
+// Guards against a restarted holder that waits for its own old lease to expire. The process is
+// killed and starts again on its host within half a second; waiting would leave the duties
+// undone without need, as the two are one holder.
+func TestRestartedHolderTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := new(store)
-		old := candidateOf(s, "a")
+		old := newCandidate(s, "a")
 		old.step(context.Background())
 		first, held := old.Held()
 		if !held {
 			t.Fatal("not held")
 		}
-		next, other := candidateOf(s, "a"), candidateOf(s, "b")
+		next, other := newCandidate(s, "a"), newCandidate(s, "b")
 		other.step(context.Background())
 		next.step(context.Background())
 		second, held := next.Held()
@@ -32,20 +32,20 @@
 		if _, held := other.Held(); held {
 			t.Error("another host holds it too")
 		}
-		if _, may := next.HeldFor(); may {
+		if _, exclusive := next.HeldFor(); exclusive {
 			t.Error("it acts while orders of the killed process may be on their way")
 		}
 		time.Sleep(MaxOrderDelay + time.Millisecond)
-		if _, may := next.HeldFor(); !may {
+		if _, exclusive := next.HeldFor(); !exclusive {
 			t.Error("it never acts")
 		}
 	})
 }
 
-func TestReleaseLetsTheNextOneIn(t *testing.T) {
+func TestReleasedLeaseIsTakenOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := new(store)
-		a, b := candidateOf(s, "a"), candidateOf(s, "b")
+		a, b := newCandidate(s, "a"), newCandidate(s, "b")
 		a.step(context.Background())
 		if err := a.Release(context.Background()); err != nil {
 			t.Fatal(err)
@@ -60,11 +60,11 @@
 	})
 }
 
-// A holder that renews each second needs not read what it wrote itself, and the
-// others need not ask while a peer tells them who holds it.
-func TestFewCalls(t *testing.T) {
+// A holder that renews regularly need not read what it wrote itself, and the other candidates
+// need not read the lease while a peer tells them who holds it.
+func TestStoreCallsOfHolderAndFollower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &counting{store: new(store)}
+		s := &countingStore{store: new(store)}
 		a := New(Config{Store: s, Zone: "z", Host: "a", Duration: duration})
 		b := New(Config{Store: s, Zone: "z", Host: identifier.Host("b"), Duration: duration, HeldByOther: func() bool { return true }})
 		a.step(context.Background())
@@ -72,7 +72,7 @@
 		for range 10 {
 			a.step(context.Background())
 			b.step(context.Background())
-			time.Sleep(duration / renewals)
+			time.Sleep(duration / renewalsPerDuration)
 		}
 		if s.calls != 10 {
 			t.Errorf("%d calls for 10 renewals", s.calls)
@@ -80,9 +80,9 @@
 	})
 }
 
-// A suspended holder's monotonic clock stands still. By the clock that counts the
-// suspension its lease has lapsed.
-func TestSuspendedHolderKnows(t *testing.T) {
+// Guards against a holder that acts after a suspension: its monotonic clock stood still, but by
+// the clock that counts the suspension its lease has expired.
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		suspended := time.Duration(0)
 		a := New(Config{Store: new(store), Zone: "z", Host: "a", Duration: duration, Now: func() time.Time { return time.Now().Add(suspended) }})
@@ -94,17 +94,17 @@
 	})
 }
 
-type counting struct {
+type countingStore struct {
 	*store
 	calls int
 }
 
-func (c *counting) Get(ctx context.Context, key string) (object.Object, error) {
+func (c *countingStore) Get(ctx context.Context, key string) (object.Object, error) {
 	c.calls++
 	return c.store.Get(ctx, key)
 }
 
-func (c *counting) Put(ctx context.Context, key string, ifVersion uint64, value any) (object.Object, error) {
+func (c *countingStore) Put(ctx context.Context, key string, ifVersion uint64, value any) (object.Object, error) {
 	c.calls++
 	return c.store.Put(ctx, key, ifVersion, value)
 }
--- a/internal/fleet/leaser/leaser.go
+++ b/internal/fleet/leaser/leaser.go
@@ -1,26 +1,20 @@
-// Package leaser holds the lease by which one controller leads a zone.
+// Package leaser implements a lease that at most one candidate holds at a time: the lead of a
+// zone or a duty of the fleet.
 //
-// # The lease
+// The lease is one object in the platform's store. Its holder renews it by conditional update;
+// a candidate that sees it unchanged for its whole duration, by the candidate's own monotonic
+// clock, may take it over. Clocks of different hosts are never compared. Each takeover raises
+// the fencing number, which never falls, as the object is never deleted.
 //
-// The lease is one object on the platform. Its holder renews it by
-// conditional update; whoever sees it unchanged for its whole duration, by
-// its own monotonic clock, may take it over. No two clocks are compared. Each
-// taking raises the fencing number, which never falls, as the object is never
-// deleted.
+// A lease may expire while its holder is paused and does not know it. The holder's own expiry
+// is therefore counted from before its last renewal was sent, and ends a margin early;
+// [Leaser.Held] is called right before each order. An order may still be in flight when the
+// lease expires: engines that honour fencing refuse it once they have had an order of the
+// successor, and for engines that don't the successor waits [MaxOrderDelay] before its first
+// order.
 //
-// # A holder that was paused
-//
-// A lease may lapse while its holder is paused and still believes it leads.
-// The holder's own time therefore runs from before its last renewal was sent,
-// and ends a margin early; [Leaser.Held] is asked right before each order. An
-// order may still be on its way when the lease lapses: engines that honour
-// fencing refuse it once the successor has given one, and for those that do
-// not the successor waits out [MaxOrderDelay] before its first order.
-//
-// # A lost answer
-//
-// A renewal whose answer is lost may or may not have taken effect. The holder
-// does not count it; it reads back and goes on from what it finds.
+// A renewal whose answer is lost may or may not have taken effect. The holder does not count on
+// it; it reads the lease and continues from what it finds.
 //
 // # Usage
 //
@@ -45,72 +39,72 @@
 )
 
 const (
-	// MaxOrderDelay is the longest that an order is on its way, unless the
-	// configuration says otherwise.
+	// MaxOrderDelay is the longest time that an order is in flight, unless the configuration
+	// states another.
 	MaxOrderDelay = 2 * time.Second
-	// A lease is renewed every renewals-th of its duration, and its holder
-	// stops believing in it one marginPart-th early.
-	renewals   = 3
-	marginPart = 5
+	// A lease is renewed every 1/renewalsPerDuration of its duration, and its holder treats it
+	// as expired 1/marginDivisor of the duration early.
+	renewalsPerDuration = 3
+	marginDivisor       = 5
 )
 
-// Store is the platform's object API.
+// Store is the platform's object store.
 type Store interface {
 	Get(ctx context.Context, key string) (object.Object, error)
 	Put(ctx context.Context, key string, ifVersion uint64, value any) (object.Object, error)
 }
 
-// Config names the lease and its candidate.
+// Config holds the settings of a lease and of one candidate for it.
 type Config struct {
 	Store    Store
 	Zone     identifier.AvailabilityZone
 	Host     identifier.Host
 	Duration time.Duration
-	// Key is the lease's object; that of the zone if empty.
+	// Key is the key of the lease's object; empty means the lease of Zone.
 	Key string
-	// Now is a clock that does not stand still while the host is suspended, as
-	// uptimer.Now; time.Now if nil.
+	// Now returns the time of a clock that does not stop while the host is suspended, as
+	// bootclock.Now; nil means time.Now.
 	Now func() time.Time
-	// MaxOrderDelay is how long a new holder waits for its predecessor's orders;
-	// the constant of that name if zero.
+	// MaxOrderDelay is how long a new holder waits for orders of its predecessor that are in
+	// flight; 0 means the constant of that name.
 	MaxOrderDelay time.Duration
-	// HeldByOther tells that another candidate is known to hold the lease now: then
-	// the store need not be asked. Nil if that is never known.
+	// HeldByOther reports whether another candidate is known to hold the lease now, so that the
+	// store need not be read; nil if that is never known.
 	HeldByOther func() bool
-	// OnChange is told when leadership is won or lost; may be nil.
+	// OnChange is called when the lease is gained or lost; may be nil.
 	OnChange func(fencing uint64, held bool)
-	// OnUnreadable is told of a lease that no candidate has written; may be nil.
+	// OnUnreadable is called for a lease that no candidate has written; may be nil.
 	OnUnreadable func(error)
 }
 
-// record is the lease as the platform holds it.
+// record is the stored form of the lease.
 type record struct {
 	Holder        identifier.Host
 	FencingNumber uint64
 	Duration      time.Duration
-	// Renewal makes each write differ, so that a version shows a renewal.
+	// Renewal makes each write differ, so that a renewal changes the object's version.
 	Renewal uint64
-	// Released: the holder has stopped, and anyone may take the lease.
+	// Released tells that the holder has given up the lease and any candidate may take it.
 	Released bool `json:",omitempty"`
 }
 
-// Leaser is one candidate. It is safe for concurrent use.
+// Leaser is one candidate for a lease. It is safe for concurrent use.
 type Leaser struct {
 	c Config
 
-	mu    sync.Mutex
-	until time.Time
-	ready time.Time
-	held  record
+	mu            sync.Mutex
+	heldUntil     time.Time
+	exclusiveFrom time.Time
+	current       record
 
-	// seen is the version last observed, and since when.
-	seen  uint64
-	since time.Time
-	// sure: seen is the version of the own last write.
-	sure bool
+	// seenVersion is the version last observed, seenSince when it was first observed.
+	seenVersion uint64
+	seenSince   time.Time
+	// confirmed tells that seenVersion is the version of this candidate's last write.
+	confirmed bool
 }
 
-// New returns a candidate that does not lead.
+// New returns a candidate that does not hold the lease.
 func New(c Config) *Leaser {
 	if c.OnUnreadable == nil {
 		c.OnUnreadable = func(error) {}
@@ -133,48 +127,47 @@
 	return &Leaser{c: c}
 }
 
-// Held returns the fencing number if the lease is held right now.
+// Held returns the fencing number, and whether the lease is held right now.
 func (l *Leaser) Held() (fencing uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.held.FencingNumber, l.c.Now().Before(l.until)
+	return l.current.FencingNumber, l.c.Now().Before(l.heldUntil)
 }
 
-// HeldFor is as Held, for orders to engines that ignore the fencing number:
-// it holds only after orders of an earlier leader can no longer be on their
-// way.
+// HeldFor is like [Leaser.Held], for orders to engines that ignore the fencing number: it
+// reports true only once no order of an earlier holder can be in flight any more.
 func (l *Leaser) HeldFor() (fencing uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.c.Now()
-	return l.held.FencingNumber, now.Before(l.until) && now.After(l.ready)
+	return l.current.FencingNumber, now.Before(l.heldUntil) && now.After(l.exclusiveFrom)
 }
 
-// Confirmed tells whether the lease is held and its last renewal was acknowledged. A
-// holder that can't renew any more should let the others prepare, who must see
-// the lease unchanged for its whole duration.
+// Confirmed reports whether the lease is held and its last renewal was acknowledged. A holder
+// that can't renew any more should let the other candidates prepare, as they must first see the
+// lease unchanged for its whole duration.
 func (l *Leaser) Confirmed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.sure && l.c.Now().Before(l.until)
+	return l.confirmed && l.c.Now().Before(l.heldUntil)
 }
 
-// Serve takes part until ctx ends.
+// Serve renews the lease or tries to take it until ctx ends.
 func (l *Leaser) Serve(ctx context.Context) error {
 	for ctx.Err() == nil {
 		l.step(ctx)
-		pause := l.c.Duration / renewals
+		pause := l.c.Duration / renewalsPerDuration
 		waiter.For(ctx, pause-pause/10+rand.N(pause/5+1))
 	}
 	return ctx.Err()
 }
 
-// Release gives up the lease, if it is held, so that a successor need not wait
-// until it lapses. The candidate must not be served any more.
+// Release gives up the lease if it is held, so that a successor need not wait until it expires.
+// Serve must have returned before.
 func (l *Leaser) Release(ctx context.Context) error {
 	l.mu.Lock()
-	r, version, held := l.held, l.seen, l.c.Now().Before(l.until)
-	l.until = time.Time{}
+	r, version, held := l.current, l.seenVersion, l.c.Now().Before(l.heldUntil)
+	l.heldUntil = time.Time{}
 	l.mu.Unlock()
 	if !held {
 		return nil
@@ -189,19 +182,19 @@
 
 func (l *Leaser) step(ctx context.Context) {
 	_, was := l.Held()
-	l.try(ctx)
+	l.tryAcquire(ctx)
 	fencing, is := l.Held()
 	if was != is {
 		l.c.OnChange(fencing, is)
 	}
 }
 
-// try reads the lease and renews or takes it, if it may. A holder whose last
-// renewal was acknowledged knows the version, and renews without reading.
-func (l *Leaser) try(ctx context.Context) {
-	begun := l.c.Now()
+// tryAcquire reads the lease and renews it or takes it over if permitted. A holder whose last
+// renewal was acknowledged knows the version and renews without reading.
+func (l *Leaser) tryAcquire(ctx context.Context) {
+	start := l.c.Now()
 	if l.Confirmed() {
-		l.write(ctx, l.held, l.seen, begun, false)
+		l.write(ctx, l.current, l.seenVersion, start, false)
 		return
 	}
 	if l.c.HeldByOther() {
@@ -211,18 +204,18 @@
 	if err != nil {
 		return
 	}
-	if version != l.seen {
-		l.seen, l.since = version, begun
+	if version != l.seenVersion {
+		l.seenVersion, l.seenSince = version, start
 	}
-	own := r.Holder == l.c.Host && r.FencingNumber == l.held.FencingNumber && r.FencingNumber > 0
-	// The holder's process was killed, and this is the next one on its host.
-	again := r.Holder == l.c.Host && !own
+	own := r.Holder == l.c.Host && r.FencingNumber == l.current.FencingNumber && r.FencingNumber > 0
+	// The holder's process was killed, and this is the next process on its host.
+	restarted := r.Holder == l.c.Host && !own
 	switch {
 	case own:
-		l.write(ctx, r, version, begun, false)
-	case again || version == object.Absent || r.Released || begun.Sub(l.since) > max(r.Duration, l.c.Duration):
+		l.write(ctx, r, version, start, false)
+	case restarted || version == object.Absent || r.Released || start.Sub(l.seenSince) > max(r.Duration, l.c.Duration):
 		r.FencingNumber++
-		l.write(ctx, r, version, begun, true)
+		l.write(ctx, r, version, start, true)
 	}
 }
 
@@ -236,55 +229,56 @@
 	}
 	var r record
 	if err := r.decode(o.Value, l.c.Duration); err != nil {
-		// Another writer has spoilt it. Were that an error, nobody would ever hold the
-		// lease again. Nobody knows who holds it now, so it is left alone for its
-		// duration; the revision is above every number given so far, as each took one.
+		// Another writer has corrupted the lease. If that were an error, no candidate would
+		// ever hold it again. Its holder is not known, so it is left alone for its duration;
+		// the object's revision is above all fencing numbers given so far, as each took a
+		// revision.
 		r = record{FencingNumber: o.Version}
 		l.c.OnUnreadable(fmt.Errorf("lease, revision %d: %w", o.Version, err))
 	}
 	return r, o.Version, nil
 }
 
-// longest is how many times its own duration a candidate respects as another's.
-const longest = 10
+// maxDurationFactor limits another candidate's lease duration to this multiple of the own one.
+const maxDurationFactor = 10
 
-// decode reads a record that a candidate has written.
+// decode parses and validates a record written by a candidate with the given lease duration.
 func (r *record) decode(value []byte, duration time.Duration) error {
 	switch err := json.Unmarshal(value, r); {
 	case err != nil:
 		return err
 	case r.Holder == "" || r.FencingNumber == 0:
-		return errors.New("it has no holder or no fencing number")
-	case r.Duration < 0 || r.Duration > longest*duration:
-		return fmt.Errorf("found a duration of %v, 0 to %v is allowed", r.Duration, longest*duration)
+		return errors.New("no holder or no fencing number")
+	case r.Duration < 0 || r.Duration > maxDurationFactor*duration:
+		return fmt.Errorf("duration %v is outside 0 to %v", r.Duration, maxDurationFactor*duration)
 	}
 	return nil
 }
 
-func (l *Leaser) write(ctx context.Context, r record, version uint64, begun time.Time, taken bool) {
+func (l *Leaser) write(ctx context.Context, r record, version uint64, start time.Time, taken bool) {
 	r.Holder = l.c.Host
 	r.Duration = l.c.Duration
 	r.Renewal++
 	r.Released = false
 	o, err := l.c.Store.Put(ctx, l.c.Key, version, r)
 	if errors.Is(err, object.ErrUnknown) && taken {
-		// If the taking took effect, the next round finds this host as holder
-		// with the number remembered here; the lease counts only from then.
+		// If the takeover took effect, the next step finds this host as holder with the number
+		// remembered here; the lease counts as held only from then on.
 		l.mu.Lock()
-		l.held = r
+		l.current = r
 		l.mu.Unlock()
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sure = err == nil
+	l.confirmed = err == nil
 	if err != nil {
 		return
 	}
-	l.seen, l.since = o.Version, begun
-	l.until = begun.Add(l.c.Duration - l.c.Duration/marginPart)
-	l.held = r
+	l.seenVersion, l.seenSince = o.Version, start
+	l.heldUntil = start.Add(l.c.Duration - l.c.Duration/marginDivisor)
+	l.current = r
 	if taken {
-		l.ready = begun.Add(l.c.MaxOrderDelay)
+		l.exclusiveFrom = start.Add(l.c.MaxOrderDelay)
 	}
 }
--- a/internal/fleet/leaser/leaser_test.go
+++ b/internal/fleet/leaser/leaser_test.go
@@ -17,12 +17,12 @@
 
 const duration = 6 * time.Second
 
-// store is a platform whose failures can be switched.
+// store is a fake store whose failures can be switched on and off.
 type store struct {
-	mu   sync.Mutex
-	o    object.Object
-	lose bool
-	down bool
+	mu          sync.Mutex
+	o           object.Object
+	loseAnswers bool
+	down        bool
 }
 
 func (s *store) Get(context.Context, string) (object.Object, error) {
@@ -48,44 +48,44 @@
 	}
 	raw, _ := json.Marshal(value)
 	s.o = object.Object{Version: ifVersion + 1, Value: raw}
-	if s.lose {
+	if s.loseAnswers {
 		return object.Object{}, object.ErrUnknown
 	}
 	return s.o, nil
 }
 
-func candidateOf(s *store, host string) *Leaser {
+func newCandidate(s *store, host string) *Leaser {
 	return New(Config{Store: s, Zone: "z", Host: identifier.Host(host), Duration: duration})
 }
 
 func TestLeaseFaults(t *testing.T) {
-	// Two candidates and one fault: never may both hold the lease, and after
-	// the fault one of them must.
+	// Two candidates and one fault: they must never both hold the lease, and after the fault
+	// one of them must hold it.
 	cases := []struct {
 		name  string
 		fault func(s *store)
 		after time.Duration
-		// fencing is the number held at the end, at least.
+		// fencing is the least fencing number at the end.
 		fencing uint64
 	}{
 		{"none", func(*store) {}, time.Minute, 1},
 		{"outage longer than the lease", func(s *store) { s.down = true }, time.Minute, 1},
-		{"answers lost", func(s *store) { s.lose = true }, time.Minute, 1},
+		{"answers lost", func(s *store) { s.loseAnswers = true }, time.Minute, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &store{}
 				ctx, cancel := context.WithCancel(t.Context())
-				a, b := candidateOf(s, "a"), candidateOf(s, "b")
+				a, b := newCandidate(s, "a"), newCandidate(s, "b")
 				for _, l := range []*Leaser{a, b} {
 					go func() { _ = l.Serve(ctx) }()
 				}
 				time.Sleep(20 * time.Second)
 				s.set(c.fault)
-				watchBoth(t, a, b, c.after)
-				s.set(func(s *store) { s.down, s.lose = false, false })
-				watchBoth(t, a, b, time.Minute)
+				checkNeverBoth(t, a, b, c.after)
+				s.set(func(s *store) { s.down, s.loseAnswers = false, false })
+				checkNeverBoth(t, a, b, time.Minute)
 				n, heldA := a.Held()
 				m, heldB := b.Held()
 				if heldA == heldB || max(n, m) < c.fencing {
@@ -104,7 +104,7 @@
 	f(s)
 }
 
-func watchBoth(t *testing.T, a, b *Leaser, d time.Duration) {
+func checkNeverBoth(t *testing.T, a, b *Leaser, d time.Duration) {
 	t.Helper()
 	for range int(d / (50 * time.Millisecond)) {
 		_, heldA := a.Held()
@@ -117,18 +117,18 @@
 }
 
 func TestLeaseOfPausedHolder(t *testing.T) {
-	// The holder is paused past its lease and wakes up believing that it
-	// leads. It must find the lease lapsed before it gives an order, and the
-	// successor's fencing number must be higher.
+	// Guards against a holder that is paused beyond its lease and resumes without knowing it.
+	// It must find the lease expired before it sends an order, and the successor's fencing
+	// number must be higher.
 	synctest.Test(t, func(t *testing.T) {
 		s := &store{}
-		a, b := candidateOf(s, "a"), candidateOf(s, "b")
+		a, b := newCandidate(s, "a"), newCandidate(s, "b")
 		a.step(t.Context())
 		first, held := a.Held()
 		if !held {
 			t.Fatal("a does not hold")
 		}
-		// a does no step any more: it is paused.
+		// a is paused: it runs no more steps.
 		for range 10 {
 			b.step(t.Context())
 			time.Sleep(duration / 4)
@@ -152,12 +152,12 @@
 	})
 }
 
-func TestLeaseSuccessorWaitsForOldOrders(t *testing.T) {
-	// Engines that ignore fencing numbers may still get an order that the old
-	// leader sent at the last moment. The successor may order them only after
-	// the longest time that an order is on its way.
+func TestSuccessorWaitsForOrdersInFlight(t *testing.T) {
+	// Guards against two orders that overtake each other at engines that ignore fencing
+	// numbers. The old holder may have sent an order at the last moment, so the successor may
+	// send orders only after the longest time that an order is in flight.
 	synctest.Test(t, func(t *testing.T) {
-		l := candidateOf(&store{}, "a")
+		l := newCandidate(&store{}, "a")
 		l.step(t.Context())
 		if _, held := l.HeldFor(); held {
 			t.Fatal("orders at once")
@@ -169,17 +169,18 @@
 	})
 }
 
-// move is one step of a random schedule.
-type move struct {
+// scheduleStep is one step of a random schedule.
+type scheduleStep struct {
 	Who        int
 	Pause      time.Duration
 	Lose, Down bool
 }
 
 func TestLeaseNeverTwoHolders(t *testing.T) {
-	// Any schedule of steps, pauses and faults of three candidates.
-	moves := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) move {
-		return move{
+	// For any schedule of steps, pauses and faults of three candidates, at most one holds the
+	// lease and the fencing number never falls.
+	moves := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) scheduleStep {
+		return scheduleStep{
 			Who: rapid.IntRange(0, 2).Draw(rt, "who"), Pause: time.Duration(rapid.IntRange(0, 4000).Draw(rt, "ms")) * time.Millisecond,
 			Lose: rapid.IntRange(0, 4).Draw(rt, "lose") == 0, Down: rapid.IntRange(0, 4).Draw(rt, "down") == 0,
 		}
@@ -187,20 +188,20 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		schedule := moves.Draw(rt, "schedule")
 		failure := ""
-		synctest.Test(t, func(*testing.T) { failure = play(schedule) })
+		synctest.Test(t, func(*testing.T) { failure = runSchedule(schedule) })
 		if failure != "" {
 			rt.Fatal(failure)
 		}
 	})
 }
 
-// play carries a schedule out and describes what it broke.
-func play(schedule []move) string {
+// runSchedule runs a schedule and describes the first violation, or returns an empty string.
+func runSchedule(schedule []scheduleStep) string {
 	s := &store{}
-	all := []*Leaser{candidateOf(s, "0"), candidateOf(s, "1"), candidateOf(s, "2")}
+	all := []*Leaser{newCandidate(s, "0"), newCandidate(s, "1"), newCandidate(s, "2")}
 	fencing := uint64(0)
 	for _, m := range schedule {
-		s.set(func(s *store) { s.lose, s.down = m.Lose, m.Down })
+		s.set(func(s *store) { s.loseAnswers, s.down = m.Lose, m.Down })
 		all[m.Who].step(context.Background())
 		time.Sleep(m.Pause)
 		holders := 0
@@ -222,19 +223,19 @@
 	return ""
 }
 
-// Another writer spoils the lease. Candidates took that for an error, so nobody held the
-// duties ever again: no engine was ordered and no usage reported. The next holder's
-// fencing number must be above all that were given before.
-func TestSpoiltLeaseIsTakenAgain(t *testing.T) {
+// Guards against a lease that another writer corrupted. Candidates took that for an error, so
+// no candidate ever held the duties again: no engines were ordered and no usage was reported.
+// The next holder's fencing number must be above all earlier ones.
+func TestCorruptLeaseIsTakenOver(t *testing.T) {
 	for name, value := range map[string]string{
 		"no record": `"gone"`, "bytes": "\x00\xff", "another type": `{"Holder":5}`, "empty": `{}`, "no number": `{"Holder":"x"}`,
 		"for ever": `{"Holder":"x","FencingNumber":1,"Duration":9000000000000000000}`, "negative": `{"Holder":"x","FencingNumber":1,"Duration":-5}`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s, told := &store{}, 0
-				a, b := candidateOf(s, "a"), candidateOf(s, "b")
-				b.c.OnUnreadable = func(error) { told++ }
+				s, calls := &store{}, 0
+				a, b := newCandidate(s, "a"), newCandidate(s, "b")
+				b.c.OnUnreadable = func(error) { calls++ }
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
 				go func() { _ = a.Serve(ctx) }()
@@ -249,20 +250,20 @@
 				s.mu.Unlock()
 				for range 40 {
 					time.Sleep(duration / 10)
-					_, one := a.Held()
-					if _, two := b.Held(); one && two {
+					_, heldA := a.Held()
+					if _, heldB := b.Held(); heldA && heldB {
 						t.Fatal("two hold the lease")
 					}
 				}
 				synctest.Wait()
-				after, one := a.Held()
-				if !one {
-					after, one = b.Held()
+				after, heldA := a.Held()
+				if !heldA {
+					after, heldA = b.Held()
 				}
-				if !one || after <= before {
-					t.Errorf("held %v by number %d, %d was before", one, after, before)
+				if !heldA || after <= before {
+					t.Errorf("held %v by number %d, %d was before", heldA, after, before)
 				}
-				if told == 0 {
+				if calls == 0 {
 					t.Error("nobody was told")
 				}
 			})
