--- a/internal/fleet/usagereporter/usagereporter.go
+++ b/internal/fleet/usagereporter/usagereporter.go
@@ -1,24 +1,20 @@
-// Package accountant reports usage: how many requests of each organisation
-// began to run in each window.
+// Package usagereporter reports usage: how many requests of each organisation began to run in
+// each window of time.
 //
-// # Two holders, one report
+// The lease holder of this duty may lose the lease between sending a report and receiving its
+// acknowledgement. Its successor then sends the window again, and the two reports must not
+// differ. So the counts of a window are settled in the store by a conditional write before they
+// are first sent, and every lease holder sends the settled counts.
 //
-// The holder of the duty may lose it between sending a report and learning that
-// it arrived; its successor then sends the window again, and the two must not
-// differ. So a window's counts are settled in the store by a conditional write
-// before they are first sent: whoever sends, sends what stands there.
-//
-// # When every daemon is killed
-//
-// The counts of an open window are known to all daemons, and so survive any one
-// of them. In case all are killed at once, the holder also keeps their sums in
-// the store, with the names of the daemons that they include: a successor adds
-// those that it has heard itself and that are not among them.
+// The counts of an open window are known to all daemons and so survive the loss of any one of
+// them. In case all daemons are killed at once, the lease holder also keeps their sums in the
+// store, with the sources they include; a successor adds the counts of sources that it knows
+// itself and that are not among these.
 //
 // # Usage
 //
-//	a := accountant.New(accountant.Config{...})
-//	a.Step(ctx, fencing) // several times a second while the duty is held
+//	r := usagereporter.New(usagereporter.Config{...})
+//	r.Step(ctx, fencing) // several times a second while the lease of the duty is held
 package usagereporter
 
 import (
@@ -35,16 +31,16 @@
 	"github.com/charmbracelet/log"
 )
 
-// Key is the store's object with the settled windows.
+// Key is the key of the store's object with the settled windows.
 const Key = "reports/usage"
 
 const (
-	// spare is how many settled windows the object holds beyond those that can
-	// still be due.
-	spare = 3
-	// savePause is how old the saved counts may be: a fifth of a window, of
-	// which the tolerance of a report allows to miss a quarter.
-	savePause = time.Second
+	// spareWindows is how many settled windows the object holds beyond those that may still be
+	// reported.
+	spareWindows = 3
+	// saveInterval is how old the saved counts may be: a fifth of a window. The tolerance of a
+	// report allows a quarter to be missing.
+	saveInterval = time.Second
 )
 
 // Store holds the settled counts.
@@ -53,48 +49,48 @@
 	Put(ctx context.Context, key string, ifVersion uint64, value any) (object.Object, error)
 }
 
-// Config names the accountant's collaborators.
+// Config holds the dependencies and time limits of a [Reporter].
 type Config struct {
 	Store Store
-	// Now is the true time; Window the length of a window.
+	// Now returns the estimated true time; Window is the length of a window.
 	Now    func() time.Time
 	Window time.Duration
-	// ReportWithin is how long after its end a window may be reported; Settle how long
-	// counts of other daemons take to arrive.
-	ReportWithin    time.Duration
-	SettleDelay func() time.Duration
-	// DaemonCounts returns what each daemon counted, as far as it is known.
+	// ReportWithin is how long after its end a window may be reported; SettleDelay returns how
+	// long counts of other daemons take to arrive.
+	ReportWithin time.Duration
+	SettleDelay  func() time.Duration
+	// DaemonCounts returns the counts of each daemon as far as they are known.
 	DaemonCounts func() []DaemonCounts
-	// Organisations are those that a report names, counted or not.
+	// Organisations returns the organisations that every report lists, with or without
+	// requests.
 	Organisations func() []identifier.Organisation
-	// Send sends a window's counts.
-	Send func(ctx context.Context, fencing uint64, window int64, counts Counts) error
+	// Send reports the counts of one window to the platform.
+	Send   func(ctx context.Context, fencing uint64, window int64, counts Counts) error
 	Logger *log.Logger
 }
 
-// Source names one incarnation of a daemon.
+// Source identifies one incarnation of a daemon.
 type Source uint64
 
-// Counts are numbers of requests.
+// Counts holds numbers of requests by organisation.
 type Counts map[identifier.Organisation]int
 
-// DaemonCounts is what one daemon counted, by window.
+// DaemonCounts holds the counts of one daemon by window.
 type DaemonCounts struct {
 	Source  Source
 	Windows map[int64]Counts
 }
 
-// window holds counts: final ones of a settled window, or those so far of an
-// open one.
+// window holds the counts of one window: final ones if it is settled, otherwise those so far.
 type window struct {
 	Window int64
 	Counts Counts
 }
 
-// record is the store's object.
+// record is the stored object.
 type record struct {
 	Windows []window
-	// Open holds what was counted in windows that are not settled, by Sources.
+	// Open holds the counts so far of windows that are not settled, counted by Sources.
 	Open    []window
 	Sources []Source
 }
@@ -108,119 +104,120 @@
 	return nil
 }
 
-// Reporter reports. It is for one goroutine.
+// Reporter settles and sends usage reports. It must be used by one goroutine only.
 type Reporter struct {
 	c       Config
 	fencing uint64
 	record  record
 	version uint64
-	known   bool
+	loaded  bool
 	sent    map[int64]bool
-	// inherited are open windows as a predecessor left them, and from whom.
-	inherited []window
-	from      []Source
-	saved     time.Time
+	// inherited are the open windows that a predecessor stored, inheritedSources the daemons
+	// that counted them.
+	inherited        []window
+	inheritedSources []Source
+	savedAt          time.Time
 }
 
-// New returns an accountant that has sent nothing.
+// New returns a Reporter that has not sent any reports.
 func New(c Config) *Reporter { return &Reporter{c: c, sent: make(map[int64]bool)} }
 
-// Step settles and sends the windows that are due. A report that fails is sent
-// again with the next step, and does not hold up the others.
-func (a *Reporter) Step(ctx context.Context, fencing uint64) {
-	if fencing != a.fencing {
-		// Another holder may have settled windows in between.
-		a.fencing, a.known = fencing, false
+// Step settles and sends the windows that are due. A report that fails is sent again at the
+// next step and does not delay the others.
+func (r *Reporter) Step(ctx context.Context, fencing uint64) {
+	if fencing != r.fencing {
+		// Another lease holder may have settled windows in between.
+		r.fencing, r.loaded = fencing, false
 	}
-	now := a.c.Now()
-	newest := now.Add(-a.c.SettleDelay()).UnixNano()/int64(a.c.Window) - 1
-	oldest := now.Add(-a.c.ReportWithin).UnixNano() / int64(a.c.Window)
+	now := r.c.Now()
+	newest := now.Add(-r.c.SettleDelay()).UnixNano()/int64(r.c.Window) - 1
+	oldest := now.Add(-r.c.ReportWithin).UnixNano() / int64(r.c.Window)
 	for window := oldest; window <= newest; window++ {
-		if a.sent[window] {
+		if r.sent[window] {
 			continue
 		}
-		if err := a.report(ctx, window); err != nil {
-			a.c.Logger.Warn("usage not reported yet", "window", window, "fencing", fencing, "error", err)
+		if err := r.report(ctx, window); err != nil {
+			r.c.Logger.Warn("usage report failed; retrying", "window", window, "fencing", fencing, "error", err)
 		}
 	}
-	for window := range a.sent {
+	for window := range r.sent {
 		if window < oldest-1 {
-			delete(a.sent, window)
+			delete(r.sent, window)
 		}
 	}
-	a.save(ctx)
+	r.save(ctx)
 }
 
-// save keeps the open windows in the store.
-func (a *Reporter) save(ctx context.Context) {
-	if time.Since(a.saved) < savePause {
+// save stores the counts of the open windows.
+func (r *Reporter) save(ctx context.Context) {
+	if time.Since(r.savedAt) < saveInterval {
 		return
 	}
-	if !a.known {
-		if err := a.read(ctx); err != nil {
-			a.c.Logger.Warn("settled windows not read", "error", err)
+	if !r.loaded {
+		if err := r.read(ctx); err != nil {
+			r.c.Logger.Warn("reading the settled usage windows failed", "error", err)
 			return
 		}
 	}
-	if err := a.write(ctx, a.record.Windows); err != nil {
-		a.c.Logger.Warn("open windows not saved", "error", err)
+	if err := r.write(ctx, r.record.Windows); err != nil {
+		r.c.Logger.Warn("saving the open usage windows failed", "error", err)
 	}
 }
 
-func (a *Reporter) report(ctx context.Context, number int64) error {
-	w, err := a.settle(ctx, number)
+func (r *Reporter) report(ctx context.Context, number int64) error {
+	w, err := r.settle(ctx, number)
 	if err != nil {
 		return err
 	}
-	if err := a.c.Send(ctx, a.fencing, number, w.Counts); err != nil {
+	if err := r.c.Send(ctx, r.fencing, number, w.Counts); err != nil {
 		return err
 	}
-	a.sent[number] = true
-	a.c.Logger.Info("usage reported", "window", number, "fencing", a.fencing, "counts", fmt.Sprint(w.Counts))
+	r.sent[number] = true
+	r.c.Logger.Info("usage reported", "window", number, "fencing", r.fencing, "counts", fmt.Sprint(w.Counts))
 	return nil
 }
 
-// settle returns a window's final counts.
-func (a *Reporter) settle(ctx context.Context, number int64) (*window, error) {
-	if !a.known {
-		if err := a.read(ctx); err != nil {
+// settle returns the final counts of a window, and stores them first if no lease holder has.
+func (r *Reporter) settle(ctx context.Context, number int64) (*window, error) {
+	if !r.loaded {
+		if err := r.read(ctx); err != nil {
 			return nil, err
 		}
 	}
-	if w := a.record.find(number); w != nil {
+	if w := r.record.find(number); w != nil {
 		return w, nil
 	}
-	next := append(slices.Clone(a.record.Windows), window{number, a.sum(number, a.c.DaemonCounts())})
-	if kept := a.open() + spare; len(next) > kept {
+	next := append(slices.Clone(r.record.Windows), window{number, r.sum(number, r.c.DaemonCounts())})
+	if kept := r.maxOpen() + spareWindows; len(next) > kept {
 		next = next[len(next)-kept:]
 	}
-	if err := a.write(ctx, next); err != nil {
+	if err := r.write(ctx, next); err != nil {
 		return nil, fmt.Errorf("settle: %w", err)
 	}
-	return a.record.find(number), nil
+	return r.record.find(number), nil
 }
 
-// skip leaves out the windows that have ended. What was settled of them is lost, and may
-// have been sent: a second report with other counts is worse than none, and without
-// this all later windows would never be reported.
-func (a *Reporter) skip() {
-	newest := a.c.Now().UnixNano() / int64(a.c.Window)
-	for number := newest - int64(a.open()); number < newest; number++ {
-		a.sent[number] = true
+// skipEnded marks the windows that have ended as sent. Their settled counts are lost and may
+// have been reported: a second report with other counts is worse than none, and without this no
+// later window would ever be reported.
+func (r *Reporter) skipEnded() {
+	newest := r.c.Now().UnixNano() / int64(r.c.Window)
+	for number := newest - int64(r.maxOpen()); number < newest; number++ {
+		r.sent[number] = true
 	}
 }
 
-// open is how many windows before the present one may still be open.
-func (a *Reporter) open() int { return int(a.c.ReportWithin/a.c.Window) + 1 }
+// maxOpen is how many windows before the current one may still be open.
+func (r *Reporter) maxOpen() int { return int(r.c.ReportWithin/r.c.Window) + 1 }
 
-// write stores settled windows and what is counted of open ones.
-func (a *Reporter) write(ctx context.Context, windows []window) error {
-	counted := a.c.DaemonCounts()
-	next := record{Windows: windows, Sources: slices.Clone(a.from)}
-	newest := a.c.Now().UnixNano() / int64(a.c.Window)
-	for number := newest - int64(a.open()); number <= newest; number++ {
+// write stores the settled windows and the counts of the open ones.
+func (r *Reporter) write(ctx context.Context, windows []window) error {
+	counted := r.c.DaemonCounts()
+	next := record{Windows: windows, Sources: slices.Clone(r.inheritedSources)}
+	newest := r.c.Now().UnixNano() / int64(r.c.Window)
+	for number := newest - int64(r.maxOpen()); number <= newest; number++ {
 		if (&record{Windows: windows}).find(number) == nil {
-			next.Open = append(next.Open, window{number, a.sum(number, counted)})
+			next.Open = append(next.Open, window{number, r.sum(number, counted)})
 		}
 	}
 	for _, c := range counted {
@@ -228,61 +225,62 @@
 			next.Sources = append(next.Sources, c.Source)
 		}
 	}
-	o, err := a.c.Store.Put(ctx, Key, a.version, next)
+	o, err := r.c.Store.Put(ctx, Key, r.version, next)
 	if err != nil {
-		// Lost or refused: read again before anything is sent.
-		a.known = false
+		// The answer was lost or the write refused: read the record again before anything is
+		// sent.
+		r.loaded = false
 		return err
 	}
-	a.record, a.version, a.saved = next, o.Version, time.Now()
+	r.record, r.version, r.savedAt = next, o.Version, time.Now()
 	return nil
 }
 
-// sum adds up a window: what was inherited, or what the same daemons are known
-// to have counted if that is more, and what others counted.
-func (a *Reporter) sum(number int64, counted []DaemonCounts) Counts {
-	out, same := make(Counts), make(Counts)
-	for _, o := range a.c.Organisations() {
+// sum adds up the counts of a window. For daemons included in the inherited counts it takes the
+// larger of those and of the currently known counts; counts of other daemons are added.
+func (r *Reporter) sum(number int64, counted []DaemonCounts) Counts {
+	out, shared := make(Counts), make(Counts)
+	for _, o := range r.c.Organisations() {
 		out[o] = 0
 	}
 	for _, c := range counted {
 		into := out
-		if slices.Contains(a.from, c.Source) {
-			into = same
+		if slices.Contains(r.inheritedSources, c.Source) {
+			into = shared
 		}
 		for o, n := range c.Windows[number] {
 			into[o] += n
 		}
 	}
-	for _, w := range a.inherited {
+	for _, w := range r.inherited {
 		if w.Window == number {
 			for o, n := range w.Counts {
-				same[o] = max(same[o], n)
+				shared[o] = max(shared[o], n)
 			}
 		}
 	}
-	for o, n := range same {
+	for o, n := range shared {
 		out[o] += n
 	}
 	return out
 }
 
-func (a *Reporter) read(ctx context.Context) error {
-	o, err := a.c.Store.Get(ctx, Key)
+func (r *Reporter) read(ctx context.Context) error {
+	o, err := r.c.Store.Get(ctx, Key)
 	if errors.Is(err, object.ErrMissing) {
-		a.record, a.version, a.known = record{}, object.Absent, true
+		r.record, r.version, r.loaded = record{}, object.Absent, true
 		return nil
 	}
 	if err != nil {
 		return fmt.Errorf("read settled windows: %w", err)
 	}
-	var r record
-	if err := json.Unmarshal(o.Value, &r); err != nil {
-		a.c.Logger.Error("settled windows spoilt by another writer, those that have ended are not reported", "revision", o.Version, "error", err)
-		a.skip()
-		r = record{}
+	var stored record
+	if err := json.Unmarshal(o.Value, &stored); err != nil {
+		r.c.Logger.Error("settled usage windows are corrupt; windows that have ended will not be reported", "revision", o.Version, "error", err)
+		r.skipEnded()
+		stored = record{}
 	}
-	a.record, a.version, a.known = r, o.Version, true
-	a.inherited, a.from = r.Open, r.Sources
+	r.record, r.version, r.loaded = stored, o.Version, true
+	r.inherited, r.inheritedSources = stored.Open, stored.Sources
 	return nil
 }
