--- a/internal/fleet/usagecounter/usagecounter.go
+++ b/internal/fleet/usagecounter/usagecounter.go
@@ -1,11 +1,10 @@
-// Package tallier counts the requests that began to run, by organisation and
-// window of usage.
+// Package usagecounter counts the requests that began to run, by organisation and usage window.
 //
 // # Usage
 //
-//	t := tallier.New(tallier.Config{Window: 5 * time.Second, Now: clock.Now})
-//	t.Began("desk")
-//	counts := t.Counts() // of the last windows
+//	c := usagecounter.New(usagecounter.Config{Window: 5 * time.Second, Retention: time.Minute, Now: clock.Now})
+//	c.RequestStarted("desk")
+//	counts := c.Counts() // of the retained windows
 package usagecounter
 
 import (
@@ -15,15 +14,15 @@
 	"brasschute/internal/core/identifier"
 )
 
-// Config says how long a window is, how long after its end it may still be asked
-// for, and what time it is.
+// Config holds the length of a window, how long after its start its counts are retained, and
+// the clock.
 type Config struct {
-	Window time.Duration
-	Retention   time.Duration
-	Now    func() time.Time
+	Window    time.Duration
+	Retention time.Duration
+	Now       func() time.Time
 }
 
-// Count is the number of an organisation's requests in one window.
+// Count is the number of requests of an organisation in one window.
 type Count struct {
 	Window       int64
 	Organisation identifier.Organisation
@@ -35,7 +34,7 @@
 	organisation identifier.Organisation
 }
 
-// Counter counts. It is safe for concurrent use.
+// Counter counts requests. It is safe for concurrent use.
 type Counter struct {
 	c Config
 
@@ -43,40 +42,42 @@
 	counts map[key]int
 }
 
-// New returns a tallier that has counted nothing.
+// New returns a Counter without any counts.
 func New(c Config) *Counter { return &Counter{c: c, counts: make(map[key]int)} }
 
-// WindowAt is the number of the window at a time: windows count from 1970.
-func (t *Counter) WindowAt(at time.Time) int64 { return at.UnixNano() / int64(t.c.Window) }
+// WindowAt returns the number of the window at a time; window 0 began on 1 January 1970 UTC.
+func (c *Counter) WindowAt(at time.Time) int64 { return at.UnixNano() / int64(c.c.Window) }
 
-// WindowEnd is when a window ends.
-func (t *Counter) WindowEnd(window int64) time.Time { return time.Unix(0, (window+1)*int64(t.c.Window)) }
+// WindowEnd returns when a window ends.
+func (c *Counter) WindowEnd(window int64) time.Time {
+	return time.Unix(0, (window+1)*int64(c.c.Window))
+}
 
 // RequestStarted counts a request that begins to run now.
-func (t *Counter) RequestStarted(o identifier.Organisation) {
-	window := t.WindowAt(t.c.Now())
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if _, known := t.counts[key{window, o}]; !known {
-		for k := range t.counts {
-			if k.window < t.oldest() {
-				delete(t.counts, k)
+func (c *Counter) RequestStarted(o identifier.Organisation) {
+	window := c.WindowAt(c.c.Now())
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if _, known := c.counts[key{window, o}]; !known {
+		for k := range c.counts {
+			if k.window < c.oldestWindow() {
+				delete(c.counts, k)
 			}
 		}
 	}
-	t.counts[key{window, o}]++
+	c.counts[key{window, o}]++
 }
 
-// oldest is the first window that may still be asked for.
-func (t *Counter) oldest() int64 { return t.WindowAt(t.c.Now().Add(-t.c.Retention)) }
+// oldestWindow returns the oldest window whose counts are retained.
+func (c *Counter) oldestWindow() int64 { return c.WindowAt(c.c.Now().Add(-c.c.Retention)) }
 
-// Counts returns what was counted in the last windows.
-func (t *Counter) Counts() []Count {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	out := make([]Count, 0, len(t.counts))
-	oldest := t.oldest()
-	for k, n := range t.counts {
+// Counts returns the counts of the retained windows.
+func (c *Counter) Counts() []Count {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	out := make([]Count, 0, len(c.counts))
+	oldest := c.oldestWindow()
+	for k, n := range c.counts {
 		if k.window < oldest {
 			continue
 		}
