--- a/internal/fleet/sweeper/sweeper.go
+++ b/internal/fleet/sweeper/sweeper.go
@@ -1,21 +1,16 @@
-// Package sweeper removes what the system left on the platform and nobody
-// needs any more.
+// Package sweeper deletes stored objects that are no longer needed.
 //
-// # What it removes
+// It deletes member records that were not renewed, as a daemon reclaimed without notice can't
+// delete its own, and held answers that no client came back for. Without it both would grow
+// without bound: hundreds of hosts are replaced each day.
 //
-// Records of members that have not been renewed, since a daemon that is
-// reclaimed without warning cannot remove its own, and held answers that no
-// caller came for. Without it both would grow for ever: hundreds of hosts are
-// replaced each day.
-//
-// Ages are reckoned by the platform's clock on both sides. Removing is
-// conditional on the version that was judged, so a record renewed in the
-// meantime stays.
+// Ages are measured by the platform's clock at both ends. A delete is conditional on the
+// version whose age was checked, so a record renewed in the meantime stays.
 //
 // # Usage
 //
 //	s := sweeper.New(sweeper.Config{Store: c, Zone: zone, Lease: lease})
-//	err := s.Serve(ctx) // works while its controller leads the zone
+//	err := s.Serve(ctx) // works while its controller holds the zone's lease
 package sweeper
 
 import (
@@ -33,27 +28,27 @@
 
 const (
 	defaultPeriod = 10 * time.Minute
-	// MaxMemberAge is the age at which a record of a member is removed; daemons
-	// renew theirs several times within it.
+	// MaxMemberAge is the age at which a member record is deleted; daemons renew theirs several
+	// times within it.
 	MaxMemberAge = 4 * time.Hour
-	// MaxHeldAge is how long an answer waits for its caller.
+	// MaxHeldAge is how long an answer is held for its client.
 	MaxHeldAge = 7 * 24 * time.Hour
 )
 
-// Store is the platform's object API.
+// Store is the platform's object store.
 type Store interface {
 	List(ctx context.Context, prefixes ...string) (object.Page, error)
 	Delete(ctx context.Context, key string, ifVersion uint64) error
-	// Now is the platform's clock.
+	// Now returns the time of the platform's clock.
 	Now() time.Time
 }
 
-// Lease tells whether this controller leads.
+// Lease reports whether this controller holds the zone's lease.
 type Lease interface {
 	Held() (fencing uint64, held bool)
 }
 
-// Config names the sweeper's collaborators.
+// Config holds the dependencies of a [Sweeper].
 type Config struct {
 	Store  Store
 	Zone   identifier.AvailabilityZone
@@ -61,12 +56,12 @@
 	Period time.Duration
 }
 
-// Sweeper sweeps one zone.
+// Sweeper deletes the expired objects of one zone.
 type Sweeper struct {
 	c Config
 }
 
-// New returns a sweeper.
+// New returns a Sweeper. A Period of 0 means ten minutes.
 func New(c Config) *Sweeper {
 	if c.Period == 0 {
 		c.Period = defaultPeriod
@@ -74,7 +69,7 @@
 	return &Sweeper{c}
 }
 
-// Serve sweeps until ctx ends.
+// Serve runs a sweep every Period until ctx ends.
 func (s *Sweeper) Serve(ctx context.Context) error {
 	return waiter.Every(ctx, s.c.Period, s.sweep)
 }
@@ -90,15 +85,15 @@
 	now := s.c.Store.Now()
 	for i := range page.Objects {
 		o := &page.Objects[i]
-		if age, limit, ok := age(o, now); ok && age > limit {
+		if age, limit, ok := ageAndLimit(o, now); ok && age > limit {
 			_ = s.c.Store.Delete(ctx, o.Key, o.Version)
 		}
 	}
 }
 
-// age returns how old an object is and may become; ok is false for one that
-// does not say.
-func age(o *object.Object, now time.Time) (old, limit time.Duration, ok bool) {
+// ageAndLimit returns an object's age and the age at which it is deleted; ok is false if the
+// object states no time.
+func ageAndLimit(o *object.Object, now time.Time) (old, limit time.Duration, ok bool) {
 	if strings.HasPrefix(o.Key, inventory.HeldPrefix) {
 		var h transferrer.HeldAnswer
 		ok = json.Unmarshal(o.Value, &h) == nil && h.AtUnix > 0
--- a/internal/fleet/sweeper/sweeper_test.go
+++ b/internal/fleet/sweeper/sweeper_test.go
@@ -46,11 +46,11 @@
 		kept  bool
 	}{
 		{"renewed member", true, "members/z/a", inventory.Member{RenewedUnix: 1}, 0, true},
-		{"member left behind", true, "members/z/a", inventory.Member{RenewedUnix: 1}, 2 * MaxMemberAge, false},
+		{"expired member", true, "members/z/a", inventory.Member{RenewedUnix: 1}, 2 * MaxMemberAge, false},
 		{"member without a time", true, "members/z/a", inventory.Member{}, 2 * MaxMemberAge, true},
-		{"not the leader", false, "members/z/a", inventory.Member{RenewedUnix: 1}, 2 * MaxMemberAge, true},
+		{"lease not held", false, "members/z/a", inventory.Member{RenewedUnix: 1}, 2 * MaxMemberAge, true},
 		{"held answer", true, "held/a", transferrer.HeldAnswer{AtUnix: 1}, 2 * MaxMemberAge, true},
-		{"held answer nobody came for", true, "held/a", transferrer.HeldAnswer{AtUnix: 1}, 2 * MaxHeldAge, false},
+		{"expired held answer", true, "held/a", transferrer.HeldAnswer{AtUnix: 1}, 2 * MaxHeldAge, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -70,7 +70,7 @@
 	}
 }
 
-// stamp sets the time of values that have one to now.
+// stamp sets the time of values that have one to the current time.
 func stamp(v any) any {
 	now := time.Now().Unix()
 	switch v := v.(type) {
