--- a/internal/fleet/auditor/auditor.go
+++ b/internal/fleet/auditor/auditor.go
@@ -1,15 +1,13 @@
-// Package trail records what the fleet did to itself, and why.
+// Package auditor stores the audit trail of the fleet's own actions and their causes.
 //
-// # The record
-//
-// Each zone has one object with its newest [Entry] values, oldest first, held
-// within the platform's size of a value. Only the zone's leader writes it, by
-// conditional update, so that two writers cannot lose each other's entries.
+// Each zone has one object with its newest [Entry] values, oldest first, limited to fit the
+// platform's largest value. Only the holder of the zone's lease writes it, by conditional
+// update, so that two writers can't overwrite each other's entries.
 //
 // # Usage
 //
-//	t := trail.New(trail.Config{Store: c, Zone: zone})
-//	err := t.Add(ctx, trail.Entry{...})
+//	t := auditor.New(auditor.Config{Store: c, Zone: zone})
+//	err := t.Add(ctx, auditor.Entry{...})
 //	entries, err := t.Read(ctx)
 package auditor
 
@@ -26,34 +24,34 @@
 )
 
 const (
-	kept  = 1024
-	tries = 5
+	maxEntries  = 1024
+	maxAttempts = 5
 )
 
-// Store is the platform's object API.
+// Store is the platform's object store.
 type Store interface {
 	Get(ctx context.Context, key string) (object.Object, error)
 	Put(ctx context.Context, key string, ifVersion uint64, value any) (object.Object, error)
 }
 
-// Config names the store and the zone.
+// Config holds the store and the zone of a [Trail].
 type Config struct {
 	Store Store
 	Zone  identifier.AvailabilityZone
 }
 
-// Entry is one step.
+// Entry describes one action.
 type Entry struct {
 	When time.Time
 	// Who is the host that acted and the fencing number of its lease.
 	Who string
-	// Host is the host concerned.
+	// Host is the host that the action concerns.
 	Host identifier.Host
-	// What was done, for what Cause, and with what Outcome.
+	// What was done, its Cause and its Outcome.
 	What    string
 	Cause   string
 	Outcome string
-	// ID is unique; by it a writer whose answer was lost finds its entry.
+	// ID is unique. A writer whose answer was lost finds its entry by it.
 	ID string
 }
 
@@ -61,20 +59,21 @@
 	Entries []Entry
 }
 
-// Trail is one zone's record.
+// Trail is the audit trail of one zone.
 type Trail struct {
 	c Config
 }
 
-// New returns a trail.
+// New returns the Trail of a zone.
 func New(c Config) *Trail { return &Trail{c} }
 
 func (t *Trail) key() string { return inventory.AuditPrefix + "zone/" + string(t.c.Zone) }
 
-// Add appends entries. After a lost answer it reads back before it repeats.
+// Add appends entries. After a lost answer or a conflict it reads the trail again before it
+// repeats the write.
 func (t *Trail) Add(ctx context.Context, entries ...Entry) error {
 	var err error
-	for range tries {
+	for range maxAttempts {
 		var r record
 		var version uint64
 		if r, version, err = t.read(ctx); err != nil {
@@ -95,7 +94,7 @@
 	return err
 }
 
-// add appends those entries that are not in the record yet.
+// add appends the entries that are not in the record yet, and reports whether there were any.
 func (r *record) add(entries []Entry) bool {
 	added := false
 	for _, e := range entries {
@@ -105,8 +104,8 @@
 		r.Entries = append(r.Entries, e)
 		added = true
 	}
-	if len(r.Entries) > kept {
-		r.Entries = r.Entries[len(r.Entries)-kept:]
+	if len(r.Entries) > maxEntries {
+		r.Entries = r.Entries[len(r.Entries)-maxEntries:]
 	}
 	return added
 }
