--- a/internal/fleet/autoscaler/autoscaler_test.go
+++ b/internal/fleet/autoscaler/autoscaler_test.go
@@ -122,7 +122,7 @@
 		before := c.engines()
 		run(newAutoscaler(c, false), c, 2, 0, 5*time.Second)
 		if got := c.engines(); got < before {
-			t.Errorf("%d engines five seconds after the change of holders, %d before", got, before)
+			t.Errorf("%d engines five seconds after the change of the lease holder, %d before", got, before)
 		}
 	})
 }
@@ -157,12 +157,12 @@
 		}
 		run(a, c, 1, 10_000, 60*time.Second)
 		if got := c.engines(); got > 8 {
-			t.Errorf("%d engines a minute after the load has gone", got)
+			t.Errorf("%d engines a minute after the load fell", got)
 		}
 		calls := c.orders
 		run(a, c, 1, 10_000, time.Minute)
 		if c.orders != calls {
-			t.Errorf("%d orders though nothing changes", c.orders-calls)
+			t.Errorf("%d orders without a change", c.orders-calls)
 		}
 	})
 }
@@ -221,7 +221,7 @@
 		}
 		const needed = 46
 		if c.engines() >= needed {
-			t.Fatalf("%d engines are left, the loss is none", c.engines())
+			t.Fatalf("%d engines are left, fewer than needed expected", c.engines())
 		}
 		run(a, c, 1, 640_000, 1500*time.Millisecond)
 		if got := c.engines(); got < needed {
@@ -301,11 +301,11 @@
 		for range 30 {
 			run(a, c, 2, needed*14_000, 500*time.Millisecond)
 			if got := c.reclaimable["a"]; got < part {
-				t.Fatalf("%d engines of the zone that is left, 25 before", got)
+				t.Fatalf("%d engines in the remaining zone, 25 before", got)
 			}
 		}
 		if got := c.engines(); got < needed {
-			t.Errorf("%d engines a quarter of a minute later, %d are needed", got, needed)
+			t.Errorf("%d engines 15 s later, %d are needed", got, needed)
 		}
 	})
 }
--- a/internal/fleet/leaser/hosted_test.go
+++ b/internal/fleet/leaser/hosted_test.go
@@ -30,14 +30,14 @@
 			t.Errorf("held %v with number %d after %d", held, second, first)
 		}
 		if _, held := other.Held(); held {
-			t.Error("another host holds it too")
+			t.Error("another host holds the lease too")
 		}
 		if _, exclusive := next.HeldFor(); exclusive {
-			t.Error("it acts while orders of the killed process may be on their way")
+			t.Error("held exclusively while orders of the killed process may be in flight")
 		}
 		time.Sleep(MaxOrderDelay + time.Millisecond)
 		if _, exclusive := next.HeldFor(); !exclusive {
-			t.Error("it never acts")
+			t.Error("never held exclusively")
 		}
 	})
 }
--- a/internal/fleet/leaser/leaser_test.go
+++ b/internal/fleet/leaser/leaser_test.go
@@ -68,7 +68,7 @@
 		// fencing is the least fencing number at the end.
 		fencing uint64
 	}{
-		{"none", func(*store) {}, time.Minute, 1},
+		{"no fault", func(*store) {}, time.Minute, 1},
 		{"outage longer than the lease", func(s *store) { s.down = true }, time.Minute, 1},
 		{"answers lost", func(s *store) { s.loseAnswers = true }, time.Minute, 1},
 	}
@@ -110,7 +110,7 @@
 		_, heldA := a.Held()
 		_, heldB := b.Held()
 		if heldA && heldB {
-			t.Fatal("two hold the lease at once")
+			t.Fatal("two candidates hold the lease at once")
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
@@ -135,7 +135,7 @@
 			_, heldA := a.Held()
 			_, heldB := b.Held()
 			if heldA && heldB {
-				t.Fatal("two hold the lease at once")
+				t.Fatal("two candidates hold the lease at once")
 			}
 		}
 		second, held := b.Held()
@@ -143,7 +143,7 @@
 			t.Fatalf("b holds %d: %t, after %d", second, held, first)
 		}
 		if _, held := a.Held(); held {
-			t.Fatal("a still believes")
+			t.Fatal("a still considers the lease held")
 		}
 		a.step(t.Context())
 		if _, held := a.Held(); held {
@@ -160,11 +160,11 @@
 		l := newCandidate(&store{}, "a")
 		l.step(t.Context())
 		if _, held := l.HeldFor(); held {
-			t.Fatal("orders at once")
+			t.Fatal("held exclusively at once")
 		}
 		time.Sleep(MaxOrderDelay + time.Millisecond)
 		if _, held := l.HeldFor(); !held {
-			t.Fatal("never orders")
+			t.Fatal("never held exclusively")
 		}
 	})
 }
@@ -252,7 +252,7 @@
 					time.Sleep(duration / 10)
 					_, heldA := a.Held()
 					if _, heldB := b.Held(); heldA && heldB {
-						t.Fatal("two hold the lease")
+						t.Fatal("two candidates hold the lease at once")
 					}
 				}
 				synctest.Wait()
@@ -261,10 +261,10 @@
 					after, heldA = b.Held()
 				}
 				if !heldA || after <= before {
-					t.Errorf("held %v by number %d, %d was before", heldA, after, before)
+					t.Errorf("held %v with fencing number %d, %d before", heldA, after, before)
 				}
 				if calls == 0 {
-					t.Error("nobody was told")
+					t.Error("OnUnreadable was not called")
 				}
 			})
 		})
--- a/internal/fleet/promoter/promoter_test.go
+++ b/internal/fleet/promoter/promoter_test.go
@@ -38,7 +38,7 @@
 			t.Run(fmt.Sprintf("%d at %v, %s", f.daemons, f.perSecond, bad.name), func(t *testing.T) {
 				sim := newSimulation(uint64(k), f.daemons, f.old, modelRoutes, &bad, 20*time.Second)
 				sim.simulate(float64(f.daemons) * f.perSecond)
-				t.Logf("%d of %d tried, %d bad, stored %v after %v: %s", sim.sentToNew, sim.sent, sim.badAnswers, sim.stored, sim.storedAt.Sub(sim.began), sim.reason)
+				t.Logf("%d of %d to the new version, %d bad, stored %v after %v: %s", sim.sentToNew, sim.sent, sim.badAnswers, sim.stored, sim.storedAt.Sub(sim.began), sim.reason)
 				sim.checkExposure(t)
 			})
 		}
@@ -54,12 +54,12 @@
 			t.Run(fmt.Sprintf("%d at %v, %v", f.daemons, f.perSecond, d), func(t *testing.T) {
 				sim := newSimulation(1, f.daemons, f.old, modelRoutes, nil, d)
 				sim.simulate(float64(f.daemons) * f.perSecond)
-				t.Logf("%d of %d tried, stored %v after %v, %d broken: %s", sim.sentToNew, sim.sent, sim.stored, sim.storedAt.Sub(sim.began), sim.brokenOff, sim.reason)
+				t.Logf("%d of %d to the new version, stored %v after %v, %d broken off: %s", sim.sentToNew, sim.sent, sim.stored, sim.storedAt.Sub(sim.began), sim.brokenOff, sim.reason)
 				if sim.stored != rollout.Complete {
 					t.Errorf("stored %v: %s", sim.stored, sim.reason)
 				}
 				if most := sim.sent / 1000; sim.brokenOff > most {
-					t.Errorf("%d requests were broken off, %d are the most", sim.brokenOff, most)
+					t.Errorf("%d requests were broken off, %d allowed", sim.brokenOff, most)
 				}
 			})
 		}
--- a/internal/fleet/promoter/simulation_test.go
+++ b/internal/fleet/promoter/simulation_test.go
@@ -366,9 +366,9 @@
 func (sim *simulation) checkExposure(t *testing.T) {
 	t.Helper()
 	if most := canaryShare*float64(sim.sent) + canarySlack; float64(sim.sentToNew) > most {
-		t.Errorf("%d of %d requests went to the new version, %.0f are the most; stored %v (%s)", sim.sentToNew, sim.sent, most, sim.stored, sim.reason)
+		t.Errorf("%d of %d requests went to the new version, %.0f allowed; stored %v (%s)", sim.sentToNew, sim.sent, most, sim.stored, sim.reason)
 	}
 	if sim.lateToNew > 0 {
-		t.Errorf("%d requests went to it later than %v after its 50th bad answer; stored %v", sim.lateToNew, revertTime, sim.stored)
+		t.Errorf("%d requests went to the new version more than %v after its 50th bad answer; stored %v", sim.lateToNew, revertTime, sim.stored)
 	}
 }
--- a/internal/fleet/repairer/repairer_test.go
+++ b/internal/fleet/repairer/repairer_test.go
@@ -196,11 +196,11 @@
 				reached = f.calls >= at
 				runRounds(f.newRepairer(t, wanted, 0, false), 20)
 				if f.started != wanted || len(f.hosts) != wanted {
-					t.Errorf("death at call %d, after it took effect: %t: %d hosts started, %d listed", at, after, f.started, len(f.hosts))
+					t.Errorf("crash at call %d, after it took effect: %t: %d hosts started, %d listed", at, after, f.started, len(f.hosts))
 				}
 				var record Record
 				if err := json.Unmarshal(f.o.Value, &record); err != nil || len(record.Intents) != 0 {
-					t.Errorf("death at call %d: record %s", at, f.o.Value)
+					t.Errorf("crash at call %d: record %s", at, f.o.Value)
 				}
 			})
 			if !reached {
--- a/internal/fleet/sizer/sizer_test.go
+++ b/internal/fleet/sizer/sizer_test.go
@@ -74,14 +74,14 @@
 
 // drawInput draws any pool that may be listed.
 func drawInput(t *rapid.T) *Input {
-	in := &Input{Scale: scale(), Required: rapid.Float64Range(0, 18).Draw(t, "need")}
+	in := &Input{Scale: scale(), Required: rapid.Float64Range(0, 18).Draw(t, "required")}
 	in.Scale.ReclaimablePriceRatio = rapid.SampledFrom([]float64{0, 0.15, 0.3, 0.74, 0.9, 1}).Draw(t, "price")
 	for zone := range prices {
 		z := Zone{
 			Zone: zone, OnDemand: rapid.IntRange(0, 6).Draw(t, "od"+string(zone)),
-			Reclaimable: rapid.IntRange(0, 5).Draw(t, "r"+string(zone)), ReclaimableUnavailable: rapid.Bool().Draw(t, "dry"+string(zone)),
+			Reclaimable: rapid.IntRange(0, 5).Draw(t, "r"+string(zone)), ReclaimableUnavailable: rapid.Bool().Draw(t, "unavailable"+string(zone)),
 		}
-		z.ReclaimableWithPending = z.Reclaimable + rapid.IntRange(0, 2).Draw(t, "coming"+string(zone))
+		z.ReclaimableWithPending = z.Reclaimable + rapid.IntRange(0, 2).Draw(t, "pending"+string(zone))
 		in.Zones = append(in.Zones, z)
 	}
 	return in
@@ -102,10 +102,10 @@
 		}
 		for _, w := range wanted {
 			if w.OnDemand < 0 || w.OnDemand > in.Scale.Max || w.Reclaimable < 0 || w.Reclaimable > in.Scale.Max {
-				t.Fatalf("%+v breaks the bounds", w)
+				t.Fatalf("%+v is out of bounds", w)
 			}
 			if w.OnDemand+listed[w.Zone].Reclaimable < in.Scale.Min {
-				t.Fatalf("%+v leaves a zone with %d reclaimable ones below the least", w, listed[w.Zone].Reclaimable)
+				t.Fatalf("%+v leaves a zone with %d reclaimable ones below the minimum", w, listed[w.Zone].Reclaimable)
 			}
 		}
 		reversed := &Input{Scale: in.Scale, Required: in.Required}
@@ -147,10 +147,10 @@
 		}
 		all, left, room := countEndpoints(Size(in), expected, in.Scale.Max)
 		if float64(all) < in.Required && room > 0 {
-			t.Fatalf("%d endpoints of a need of %.1f, with room for %d", all, in.Required, room)
+			t.Fatalf("%d endpoints of a required %.1f, with room for %d", all, in.Required, room)
 		}
 		if float64(left) < minCapacityFraction*in.Required && room > 0 {
-			t.Fatalf("%d endpoints left of a need of %.1f, with room for %d", left, in.Required, room)
+			t.Fatalf("%d endpoints left of a required %.1f, with room for %d", left, in.Required, room)
 		}
 	})
 }
@@ -163,12 +163,12 @@
 		in.Scale.ReclaimablePriceRatio = price
 		onDemand, reclaimable := total(Size(in))
 		if reclaimable != 0 || onDemand < 9 {
-			t.Errorf("price %.1f: %d on demand and %d reclaimable for a need of 8", price, onDemand, reclaimable)
+			t.Errorf("price %.1f: %d on demand and %d reclaimable for a required number of 8", price, onDemand, reclaimable)
 		}
 	}
 	in := &Input{Scale: scale(), Required: 8, Zones: zones(0, 3)}
 	if onDemand, reclaimable := total(Size(in)); onDemand != 0 || reclaimable != 12 {
-		t.Errorf("%d on demand and %d reclaimable for a need of 8", onDemand, reclaimable)
+		t.Errorf("%d on demand and %d reclaimable for a required number of 8", onDemand, reclaimable)
 	}
 }
 
@@ -194,13 +194,13 @@
 // request waited for a slot.
 func TestFewSlotsNeedMoreEngines(t *testing.T) {
 	demand := demandmeter.Demand{Tokens: 12 * 14_000, Running: 300}
-	if need := EngineCapacity(14_000/prefillFraction, 16).EndpointsFor(demand); need*16 < 300 {
-		t.Errorf("%.0f engines of 16 slots for 300 requests", need)
+	if engines := EngineCapacity(14_000/prefillFraction, 16).EndpointsFor(demand); engines*16 < 300 {
+		t.Errorf("%.0f engines of 16 slots for 300 requests", engines)
 	}
-	if need := EngineCapacity(14_000/prefillFraction, 128).EndpointsFor(demand); need > 13 {
-		t.Errorf("%.0f engines of 128 slots", need)
+	if engines := EngineCapacity(14_000/prefillFraction, 128).EndpointsFor(demand); engines > 13 {
+		t.Errorf("%.0f engines of 128 slots", engines)
 	}
-	if need := EngineCapacity(14_000/prefillFraction, 0).EndpointsFor(demand); need > 13 {
-		t.Errorf("%.0f engines of unknown slots", need)
+	if engines := EngineCapacity(14_000/prefillFraction, 0).EndpointsFor(demand); engines > 13 {
+		t.Errorf("%.0f engines of unknown slots", engines)
 	}
 }
--- a/internal/fleet/usagereporter/usagereporter_test.go
+++ b/internal/fleet/usagereporter/usagereporter_test.go
@@ -176,7 +176,7 @@
 			p.now = p.now.Add(500 * time.Millisecond)
 		}
 		if p.differed {
-			t.Fatal("a window was reported in two ways")
+			t.Fatal("a window was reported with two different counts")
 		}
 		if last := p.window() - 2; last >= start && p.reports[last] == "" {
 			t.Fatalf("window %d was not reported", last)
