--- a/internal/role/controller/controller.go
+++ b/internal/role/controller/controller.go
@@ -1,12 +1,9 @@
-// Package controller is the role of a controller.
+// Package controller implements the controller daemon.
 //
-// # What it does
-//
-// Every entry host runs one. The controllers of a zone compete for the zone's
-// lease; the one that holds it brings the zone's engines to the state that
-// the configuration wants. A controller may pause or die at any time: no
-// request passes through it, and its successor starts from what the platform
-// and the engines themselves say.
+// Every entry host runs one. The controllers of a zone compete for the zone's lease, and its
+// holder reconciles the zone's engines with the configuration. A controller may pause or crash at
+// any time: no request passes through it, and its successor starts from the state that the
+// platform and the engines report.
 //
 // # Usage
 //
@@ -23,11 +20,11 @@
 	"brasschute/internal/config/keeper"
 	"brasschute/internal/config/settings"
 	"brasschute/internal/engine/caller"
+	"brasschute/internal/fleet/auditor"
 	"brasschute/internal/fleet/leaser"
 	"brasschute/internal/fleet/reconciler"
 	"brasschute/internal/fleet/repairer"
 	"brasschute/internal/fleet/sweeper"
-	"brasschute/internal/fleet/auditor"
 	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/client"
@@ -41,13 +38,13 @@
 	"github.com/thejerf/suture/v4"
 )
 
-// Config names what a controller is made of.
+// Config holds the settings and the logger of a controller.
 type Config struct {
 	Settings *settings.Settings
 	Logger   *log.Logger
 }
 
-// Controller is one candidate for its zone's lease.
+// Controller is one candidate for its zone's lease. Create it with [New].
 type Controller struct {
 	c        Config
 	tree     *suture.Supervisor
@@ -63,7 +60,7 @@
 	k.registry = registry.New(registry.Config{LeavingHosts: leaving})
 	platform := client.New(client.Config{Address: s.Platform.String(), Source: s.Source()})
 	lease := leaser.New(leaser.Config{
-		Store: platform, Zone: s.AvailabilityZone, Host: s.Host, Duration: s.Lease.Duration.Std(), OnChange: k.leads,
+		Store: platform, Zone: s.AvailabilityZone, Host: s.Host, Duration: s.Lease.Duration.Std(), OnChange: k.logLease,
 	})
 	k.tree.Add(watcher.New(watcher.Config{
 		Platform: platform, Sink: k,
@@ -87,11 +84,11 @@
 	return k
 }
 
-func (k *Controller) leads(fencing uint64, held bool) {
+func (k *Controller) logLease(fencing uint64, held bool) {
 	k.c.Logger.Info("lease", "zone", k.c.Settings.AvailabilityZone, "held", held, "fencing", fencing)
 }
 
-// Apply takes in platform objects.
+// Apply applies objects from the platform.
 func (k *Controller) Apply(objects []object.Object) {
 	for i := range objects {
 		k.keeper.Apply(&objects[i])
@@ -99,10 +96,11 @@
 	}
 }
 
-// Run works until ctx ends. The lease is left to lapse: giving it up early
-// would let a successor order while an own order is still on its way.
+// Run works until ctx ends. It leaves the lease to expire: an early release would let a successor
+// issue orders while one of this controller's orders is still in flight. It returns an error only
+// if the supervisor tree ends early.
 func (k *Controller) Run(ctx context.Context) error {
-	k.c.Logger.Info("controller starts", "zone", k.c.Settings.AvailabilityZone)
+	k.c.Logger.Info("controller started", "zone", k.c.Settings.AvailabilityZone)
 	err := k.tree.Serve(ctx)
 	if err != nil && !errors.Is(err, context.Canceled) {
 		return fmt.Errorf("controller: %w", err)
--- a/internal/role/demonstrator/demonstrator.go
+++ b/internal/role/demonstrator/demonstrator.go
@@ -1,11 +1,9 @@
-// Package demonstrator shows the whole system inside one process.
+// Package demonstrator demonstrates the whole system in one process.
 //
-// # What it shows
-//
-// It starts stand-ins for the platform, two engines and a plain service, and
-// a real entry daemon, all on loopback ports chosen by the kernel, applies an
-// embedded configuration, sends one streamed request and one plain call, and
-// prints the answers and the explanation of the first.
+// It starts stand-ins for the platform, two engines and a plain service, and a real entry daemon,
+// all on loopback ports chosen by the kernel. It applies an embedded configuration, sends one
+// streaming request and one plain call, and prints the answers and the explanations of their
+// routing.
 //
 // # Usage
 //
@@ -31,8 +29,8 @@
 	"brasschute/internal/config/settings"
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/engine/frame"
-	"brasschute/internal/ops/printer"
 	"brasschute/internal/ops/logger"
+	"brasschute/internal/ops/printer"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/platform/inventory"
 	"brasschute/internal/role/entry"
@@ -46,26 +44,27 @@
 var configuration string
 
 const (
-	zone        = "demo-zone"
-	callerKey   = "demo-key"
-	operatorKey = "demo-operator"
-	requestID   = "demo-request"
-	readyTime   = 15 * time.Second
-	pollPause   = 20 * time.Millisecond
-	prompt      = `{"model":"demo-model","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Draft a maturity letter."}]}`
-	decodeSpeed = 50
+	zone                  = "demo-zone"
+	callerKey             = "demo-key"
+	operatorKey           = "demo-operator"
+	requestID             = "demo-request"
+	readyTimeout          = 15 * time.Second
+	pollInterval          = 20 * time.Millisecond
+	prompt                = `{"model":"demo-model","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"Draft a maturity letter."}]}`
+	decodeTokensPerSecond = 50
 )
 
-// Config names where the demonstration prints, and whether it goes on.
+// Config configures a demonstration.
 type Config struct {
+	// Output receives the printed demonstration.
 	Output io.Writer
 	// Log receives the daemon's log lines.
 	Log io.Writer
-	// KeepServing serves on until the context ends.
+	// KeepServing keeps the system running until the context ends.
 	KeepServing bool
 }
 
-// Demonstrator runs the demonstration.
+// Demonstrator runs the demonstration. Create it with [New].
 type Demonstrator struct {
 	c        Config
 	platform *platform.Platform
@@ -77,13 +76,13 @@
 // New returns a demonstrator.
 func New(c Config) *Demonstrator { return &Demonstrator{c: c} }
 
-// Run starts everything, shows it and stops it.
+// Run starts the system, demonstrates it and stops it.
 func (d *Demonstrator) Run(ctx context.Context) error {
 	defer d.close()
-	if err := d.standins(); err != nil {
+	if err := d.startStandins(); err != nil {
 		return err
 	}
-	e, err := d.entry()
+	e, err := d.newEntry()
 	if err != nil {
 		return err
 	}
@@ -91,11 +90,11 @@
 	defer stop()
 	done := make(chan error, 1)
 	go func() { done <- e.Run(running) }()
-	if err := d.show(ctx); err != nil {
+	if err := d.demonstrate(ctx); err != nil {
 		return err
 	}
 	if d.c.KeepServing {
-		d.invite()
+		d.printInstructions()
 		<-ctx.Done()
 	}
 	stop()
@@ -120,11 +119,11 @@
 	return l.Addr().String(), nil
 }
 
-func (d *Demonstrator) standins() error {
+func (d *Demonstrator) startStandins() error {
 	d.platform = platform.New(platform.Config{})
 	for i := range 2 {
 		name := fmt.Sprintf("engine-%d", i+1)
-		e := engine.New(engine.Config{Endpoint: identifier.Endpoint(name), Incarnation: 1, Model: "demo-1", DecodePerSecond: decodeSpeed})
+		e := engine.New(engine.Config{Endpoint: identifier.Endpoint(name), Incarnation: 1, Model: "demo-1", DecodePerSecond: decodeTokensPerSecond})
 		if err := d.register(name, "demo-engines", e); err != nil {
 			return err
 		}
@@ -145,7 +144,7 @@
 	return nil
 }
 
-func (d *Demonstrator) entry() (*entry.Entry, error) {
+func (d *Demonstrator) newEntry() (*entry.Entry, error) {
 	address, err := d.serve(d.platform)
 	if err != nil {
 		return nil, err
@@ -176,7 +175,7 @@
 	})
 }
 
-// freePorts asks the kernel for ports that are free now.
+// freePorts returns loopback addresses with ports that are free now.
 func freePorts(n int) ([]netip.AddrPort, error) {
 	var out []netip.AddrPort
 	for range n {
@@ -190,33 +189,34 @@
 	return out, nil
 }
 
-func (d *Demonstrator) operator() rpc.Operator {
+func (d *Demonstrator) operatorClient() rpc.Operator {
 	return printer.Client(d.settings.Operators.String(), operatorKey)
 }
 
-// show applies the configuration, sends the requests and prints.
-func (d *Demonstrator) show(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+// demonstrate applies the configuration, sends the requests and prints the results.
+func (d *Demonstrator) demonstrate(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	draft := &rpc.Draft{File: "demo.yaml", Source: configuration}
-	if err := d.until(ctx, func() error { _, err := d.operator().Apply(ctx, draft); return err }); err != nil {
+	if err := d.retryUntil(ctx, func() error { _, err := d.operatorClient().Apply(ctx, draft); return err }); err != nil {
 		return err
 	}
 	fmt.Fprintf(d.c.Output, "configuration 1 applied; asking demo-model for a letter:\n\n  ")
-	if err := d.until(ctx, d.listed(ctx)); err != nil {
+	if err := d.retryUntil(ctx, d.endpointsListed(ctx)); err != nil {
 		return err
 	}
-	if err := d.stream(ctx); err != nil {
+	if err := d.sendStreaming(ctx); err != nil {
 		return err
 	}
-	if err := d.call(ctx); err != nil {
+	if err := d.sendPlain(ctx); err != nil {
 		return err
 	}
 	return d.explain(ctx)
 }
 
-// until repeats f until it succeeds or ctx ends.
-func (d *Demonstrator) until(ctx context.Context, f func() error) error {
+// retryUntil calls f every pollInterval until it succeeds or ctx ends, and returns its last
+// error.
+func (d *Demonstrator) retryUntil(ctx context.Context, f func() error) error {
 	for {
 		err := f()
 		if err == nil {
@@ -225,15 +225,15 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(pollPause):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-func (d *Demonstrator) listed(ctx context.Context) func() error {
+func (d *Demonstrator) endpointsListed(ctx context.Context) func() error {
 	const endpoints = 3
 	return func() error {
-		s, err := d.operator().Status(ctx, &rpc.StatusRequest{})
+		s, err := d.operatorClient().Status(ctx, &rpc.StatusRequest{})
 		if err != nil {
 			return err
 		}
@@ -263,32 +263,32 @@
 	return resp, nil
 }
 
-func (d *Demonstrator) stream(ctx context.Context) error {
+func (d *Demonstrator) sendStreaming(ctx context.Context) error {
 	resp, err := d.request(ctx, "/v1/chat/completions", prompt)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
-	whole := false
+	complete := false
 	lines := bufio.NewScanner(resp.Body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		if data == frame.EndMarker {
-			whole = true
+			complete = true
 		}
 		var f frame.Frame
 		if ok && json.Unmarshal([]byte(data), &f) == nil {
 			fmt.Fprint(d.c.Output, f.Content())
 		}
 	}
-	if !whole {
+	if !complete {
 		return errors.New("demo: the stream was truncated")
 	}
 	fmt.Fprint(d.c.Output, "\n\n")
 	return d.explain(ctx)
 }
 
-func (d *Demonstrator) call(ctx context.Context) error {
+func (d *Demonstrator) sendPlain(ctx context.Context) error {
 	resp, err := d.request(ctx, "/services/demo-ledger/accounts/7", `{"Lookup":"bond"}`)
 	if err != nil {
 		return err
@@ -303,7 +303,7 @@
 }
 
 func (d *Demonstrator) explain(ctx context.Context) error {
-	reply, err := d.operator().ExplainRequestID(ctx, &rpc.ExplainRequest{Request: requestID})
+	reply, err := d.operatorClient().ExplainRequestID(ctx, &rpc.ExplainRequest{Request: requestID})
 	if err != nil {
 		return fmt.Errorf("demo: %w", err)
 	}
@@ -315,7 +315,7 @@
 	return nil
 }
 
-func (d *Demonstrator) invite() {
+func (d *Demonstrator) printInstructions() {
 	fmt.Fprintf(d.c.Output, `
 serving until interrupted; try
 
--- a/internal/role/entry/beliefs.go
+++ b/internal/role/entry/beliefs.go
@@ -13,7 +13,7 @@
 	"brasschute/internal/platform/object"
 )
 
-// Apply takes in one platform object.
+// Apply applies objects from the platform.
 func (e *Entry) Apply(objects []object.Object) {
 	for _, o := range objects {
 		e.apply(o)
@@ -25,15 +25,15 @@
 	case strings.HasPrefix(o.Key, inventory.ConfigurationPrefix):
 		e.keeper.Apply(&o)
 	case strings.HasPrefix(o.Key, inventory.MemberPrefix):
-		e.member(&o)
+		e.mergeMember(&o)
 	default:
-		e.noteZone(o.Key)
+		e.recordZone(o.Key)
 		e.registry.Apply(&o)
-		e.ownNotice(&o)
+		e.handleReclaimNotice(&o)
 	}
 }
 
-func (e *Entry) noteZone(key string) {
+func (e *Entry) recordZone(key string) {
 	rest, ok := strings.CutPrefix(key, inventory.HostPrefix)
 	if !ok {
 		return
@@ -44,20 +44,20 @@
 	e.zones[identifier.AvailabilityZone(zone)] = true
 }
 
-func (e *Entry) member(o *object.Object) {
+func (e *Entry) mergeMember(o *object.Object) {
 	var m inventory.Member
 	if o.Deleted || json.Unmarshal(o.Value, &m) != nil {
 		return
 	}
-	e.ledger.Merge(&rpc.News{Full: true, Members: []*rpc.Member{{
+	e.members.Merge(&rpc.News{Full: true, Members: []*rpc.Member{{
 		Host: string(m.Host), AvailabilityZone: string(m.AvailabilityZone),
 		PeerAddress: m.PeerAddress, Incarnation: uint64(m.Incarnation),
 	}}}, time.Now())
 }
 
-// ownNotice starts the drain when the own host is reclaimed. A notice whose
+// handleReclaimNotice starts the drain when this daemon's host is reclaimed. A notice whose
 // deadline has passed belongs to an earlier host of the same name.
-func (e *Entry) ownNotice(o *object.Object) {
+func (e *Entry) handleReclaimNotice(o *object.Object) {
 	var n inventory.Notice
 	if !strings.HasPrefix(o.Key, inventory.NoticePrefix) || o.Deleted || json.Unmarshal(o.Value, &n) != nil {
 		return
@@ -66,14 +66,14 @@
 		return
 	}
 	e.c.Logger.Warn("reclaim notice", "deadline", n.Deadline)
-	e.leave(n.Deadline.Add(-handOverMargin))
+	e.requestStop(n.Deadline.Add(-stopMargin))
 }
 
-// daemons counts those of the fleet that send to the same endpoints.
-func (e *Entry) daemons() int { return e.ledger.Count() }
+// knownDaemons returns the number of known daemons that send to the same endpoints.
+func (e *Entry) knownDaemons() int { return e.members.Count() }
 
-// price reads the configuration in force; the registry asks again after each
-// change.
+// price returns a host's price in the configuration in force; 0 if none is. The registry calls it
+// again after each change.
 func (e *Entry) price(zone identifier.AvailabilityZone, class document.Class) float64 {
 	s := e.keeper.Current()
 	if s == nil {
@@ -82,27 +82,27 @@
 	return s.Plan.Price(zone, class)
 }
 
-func (e *Entry) configured(s *keeper.Snapshot) {
+func (e *Entry) onConfiguration(s *keeper.Snapshot) {
 	e.c.Logger.Info("configuration in force", "number", s.Number(), "operator", s.Change.Who)
 	e.scope.Gauge("configuration_number").Update(float64(s.Number()))
 	e.registry.Refresh()
-	e.exchanger.Trigger()
+	e.gossiper.Trigger()
 }
 
-func (e *Entry) refusedConfiguration(n identifier.ConfigurationNumber, err error) {
+func (e *Entry) onRefusedConfiguration(n identifier.ConfigurationNumber, err error) {
 	e.scope.Counter("configurations_refused").Inc(1)
 	e.c.Logger.Error("configuration refused, the last good one stays in force", "number", n, "error", err)
 }
 
-// endpointsChanged passes on at once that endpoints began to leave, and moves
-// the streams that run there.
-func (e *Entry) endpointsChanged() {
+// onEndpointsChange notifies peers at once that endpoints started to leave, and moves the streams
+// that run there.
+func (e *Entry) onEndpointsChange() {
 	e.streamer.ScheduleMoves()
-	e.evacuator.Trigger()
-	e.exchanger.Trigger()
+	e.migrator.Trigger()
+	e.gossiper.Trigger()
 }
 
-func (e *Entry) platformReport(err error) {
+func (e *Entry) onPlatformReport(err error) {
 	was := e.reachable.Swap(err == nil)
 	if was != (err == nil) {
 		e.c.Logger.Info("platform", "reachable", err == nil, "error", err)
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -1,26 +1,25 @@
-// Package entry is the role of an entry daemon.
+// Package entry implements the entry daemon, which serves callers in front of engines and plain
+// services.
 //
-// # The supervisor tree
+// The daemon is a tree of supervised services:
 //
 //	entry
-//	├── watcher      follows the platform
-//	├── exchanger    swaps news with peers
-//	├── poller       observes endpoints
-//	├── evacuator    saves caches of engines that leave
-//	├── registrar    lists this daemon on the platform
-//	├── gauges       keeps metrics up to date
+//	├── watcher      watches the platform
+//	├── gossiper     gossips with peers
+//	├── poller       polls the load of endpoints
+//	├── migrator     saves the caches of leaving engines
+//	├── registrar    registers this daemon on the platform
+//	├── gauges       updates metrics
 //	├── peers        listener for peers
 //	├── operators    listener for operators
 //	└── callers      listener for callers
 //
-// A service that fails is restarted alone; the path of requests needs none of
-// them but its listener. On a graceful stop the daemon first drains (package
-// handler) while the whole tree still runs, and then ends the tree.
+// A service that fails is restarted alone. The request path depends on none of them except its
+// listener.
 //
-// # Reasons to stop
-//
-// SIGTERM, an operator's drain, and a reclaim notice for the own host all
-// lead to the same drain; a notice sets the deadline.
+// A SIGTERM, an operator's drain and a reclaim notice for the daemon's own host all start the
+// same graceful stop; a notice sets its deadline. The daemon first drains (see package handler)
+// while the whole tree still runs, and then ends the tree.
 //
 // # Usage
 //
@@ -45,15 +44,15 @@
 	"brasschute/internal/config/settings"
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/engine/caller"
-	"brasschute/internal/fleet/repairer"
 	"brasschute/internal/fleet/auditor"
+	"brasschute/internal/fleet/repairer"
 	"brasschute/internal/ops/operator"
 	"brasschute/internal/ops/server"
+	"brasschute/internal/peer/crashreporter"
 	"brasschute/internal/peer/gossiper"
-	"brasschute/internal/peer/retainer"
 	"brasschute/internal/peer/membertracker"
 	"brasschute/internal/peer/meter"
-	"brasschute/internal/peer/crashreporter"
+	"brasschute/internal/peer/retainer"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/peer/signer"
 	"brasschute/internal/platform/client"
@@ -61,11 +60,10 @@
 	"brasschute/internal/platform/object"
 	"brasschute/internal/platform/watcher"
 	"brasschute/internal/route/budgeter"
-	"brasschute/internal/route/migrator"
 	"brasschute/internal/route/limiter"
+	"brasschute/internal/route/migrator"
 	"brasschute/internal/route/poller"
 	"brasschute/internal/route/registry"
-	"brasschute/internal/serve/transferrer"
 	"brasschute/internal/serve/claimer"
 	"brasschute/internal/serve/forwarder"
 	"brasschute/internal/serve/handler"
@@ -73,6 +71,7 @@
 	"brasschute/internal/serve/recorder"
 	"brasschute/internal/serve/sealer"
 	"brasschute/internal/serve/streamer"
+	"brasschute/internal/serve/transferrer"
 
 	"github.com/charmbracelet/log"
 	"github.com/thejerf/suture/v4"
@@ -81,34 +80,34 @@
 )
 
 const (
-	dialTimeout    = time.Second
-	peerIdle       = 90 * time.Second
-	handOverMargin = time.Second
-	// claimTime is left, after the last request, to record what ran.
-	claimTime    = 3 * time.Second
-	reportPeriod = time.Second
+	dialTimeout     = time.Second
+	peerIdleTimeout = 90 * time.Second
+	stopMargin      = time.Second
+	// claimTimeout is the time after the last request for recording which requests ran.
+	claimTimeout    = 3 * time.Second
+	metricsInterval = time.Second
 )
 
-// Config names what a daemon is made of.
+// Config holds the settings and the logger of a daemon.
 type Config struct {
 	Settings *settings.Settings
 	Logger   *log.Logger
 }
 
-// Entry is one entry daemon.
+// Entry is one entry daemon. Create it with [New].
 type Entry struct {
 	c    Config
 	tree *suture.Supervisor
 
-	platform  *client.Client
-	ledger    *membertracker.Tracker
-	keeper    *keeper.Keeper
-	registry  *registry.Registry
-	exchanger *gossiper.Gossiper
-	// quarantine knows the requests under which endpoints ended.
+	platform *client.Client
+	members  *membertracker.Tracker
+	keeper   *keeper.Keeper
+	registry *registry.Registry
+	gossiper *gossiper.Gossiper
+	// quarantine tracks the requests under which endpoints ended.
 	quarantine *crashreporter.Reporter
 	streamer   *streamer.Streamer
-	evacuator  *migrator.Migrator
+	migrator   *migrator.Migrator
 	claimer    *claimer.Claimer
 	handler    *handler.Handler
 	meter      *meter.Meter
@@ -124,59 +123,59 @@
 	zones map[identifier.AvailabilityZone]bool
 }
 
-// New opens the listeners, so that a port in use is found at once, and builds
-// the daemon.
+// New builds the daemon and opens its listeners, so that a port in use is reported at once. It
+// fails if the peer key is not hexadecimal or a listener cannot be opened.
 func New(c Config) (*Entry, error) {
 	e := &Entry{c: c, started: time.Now(), stop: make(chan time.Time, 1), zones: make(map[identifier.AvailabilityZone]bool)}
 	key, err := hex.DecodeString(c.Settings.PeerKey)
 	if err != nil {
 		return nil, fmt.Errorf("entry: peer key: %w", err)
 	}
-	e.metrics()
+	e.buildMetrics()
 	e.build(key)
 	return e, e.listen(key)
 }
 
-func (e *Entry) metrics() {
+func (e *Entry) buildMetrics() {
 	e.reporter = prometheus.NewReporter(prometheus.Options{})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
 		Prefix: "brasschute", CachedReporter: e.reporter, Separator: prometheus.DefaultSeparator,
 		SanitizeOptions: &prometheus.DefaultSanitizerOpts, OmitCardinalityMetrics: true,
-	}, reportPeriod)
+	}, metricsInterval)
 	e.scope, e.closer = scope, closer.Close
 }
 
-// build makes the daemon's parts, lowest first.
+// build creates the daemon's components in the order of their dependencies.
 func (e *Entry) build(key []byte) {
 	s := e.c.Settings
 	e.meter = new(meter.Meter)
 	e.platform = client.New(client.Config{Address: s.Platform.String(), Source: s.Source()})
-	e.ledger = membertracker.New(membertracker.Config{Self: &rpc.Member{
+	e.members = membertracker.New(membertracker.Config{Self: &rpc.Member{
 		Host: string(s.Host), AvailabilityZone: string(s.AvailabilityZone), PeerAddress: s.PeerAddress().String(),
 		Incarnation: uint64(e.started.UnixMilli()),
 	}})
-	e.keeper = keeper.New(keeper.Config{OnChange: e.configured, OnRefused: e.refusedConfiguration})
-	e.registry = registry.New(registry.Config{LeavingHosts: e.ledger, OnChange: e.endpointsChanged, Price: e.price, Daemons: e.daemons})
+	e.keeper = keeper.New(keeper.Config{OnChange: e.onConfiguration, OnRefused: e.onRefusedConfiguration})
+	e.registry = registry.New(registry.Config{LeavingHosts: e.members, OnChange: e.onEndpointsChange, Price: e.price, Daemons: e.knownDaemons})
 	records := recorder.New(recorder.Config{})
-	kept := retainer.New(retainer.Config{})
+	retained := retainer.New(retainer.Config{})
 	signing := signer.New(signer.Config{Key: key, Host: s.Host})
 	dial := net.Dialer{Timeout: dialTimeout, LocalAddr: s.Source()}
 	e.quarantine = crashreporter.New(crashreporter.Config{
 		Host: s.Host, Dialer: &net.Dialer{LocalAddr: s.Source()}, Leaving: e.registry.Leaving,
-		// The host list numbers the lives of hosts.
-		Incarnation:   func(k *registry.Pick) identifier.StartTime { return identifier.StartTime(k.Incarnation) },
-		OnNews: func(bool) { e.exchanger.Trigger() }, Logger: e.c.Logger, Metrics: e.scope,
+		// The host list numbers the incarnations of hosts.
+		Incarnation: func(k *registry.Pick) identifier.StartTime { return identifier.StartTime(k.Incarnation) },
+		OnNews:      func(bool) { e.gossiper.Trigger() }, Logger: e.c.Logger, Metrics: e.scope,
 	})
-	e.exchanger = gossiper.New(gossiper.Config{
-		Reporter: e.quarantine, Members: e.ledger, Registry: e.registry, Keeper: e.keeper, Retainer: kept, Recorder: records, Seeds: seeds(s),
+	e.gossiper = gossiper.New(gossiper.Config{
+		Reporter: e.quarantine, Members: e.members, Registry: e.registry, Keeper: e.keeper, Retainer: retained, Recorder: records, Seeds: seedAddresses(s),
 		Client: &http.Client{Transport: signing.Sign(&http.Transport{
-			DialContext: e.meter.Dial(dial.DialContext), IdleConnTimeout: peerIdle, DisableCompression: true,
+			DialContext: e.meter.Dial(dial.DialContext), IdleConnTimeout: peerIdleTimeout, DisableCompression: true,
 		})},
 	})
-	e.serving(key, records, kept)
+	e.buildServing(key, records, retained)
 }
 
-func seeds(s *settings.Settings) []string {
+func seedAddresses(s *settings.Settings) []string {
 	var out []string
 	for _, a := range s.Seeds {
 		out = append(out, a.String())
@@ -184,12 +183,12 @@
 	return out
 }
 
-// serving makes the parts on the path of requests.
-func (e *Entry) serving(key []byte, records *recorder.Recorder, kept *retainer.Retainer) {
+// buildServing creates the components that handle requests.
+func (e *Entry) buildServing(key []byte, records *recorder.Recorder, retained *retainer.Retainer) {
 	s := e.c.Settings
 	endpoints := caller.New(caller.Config{Source: s.Source()})
 	budget := budgeter.New(budgeter.Config{})
-	e.evacuator = migrator.New(migrator.Config{Registry: e.registry, Caller: endpoints})
+	e.migrator = migrator.New(migrator.Config{Registry: e.registry, Caller: endpoints})
 	e.streamer = streamer.New(streamer.Config{
 		Registry: e.registry, Caller: endpoints, Budgeter: budget, Zone: s.AvailabilityZone,
 		Stall: s.Engine.Stall.Std(), FirstStall: s.Engine.FirstStall.Std(), Quarantine: e.quarantine,
@@ -203,38 +202,38 @@
 		Forwarder: forwarder.New(forwarder.Config{
 			Registry: e.registry, Caller: endpoints, Budgeter: budget, Zone: s.AvailabilityZone, Quarantine: e.quarantine,
 		}),
-		Carrier:  transferrer.New(transferrer.Config{Ledger: e.ledger, Holder: kept, Peer: e.exchanger.Peer, Store: e.platform}),
+		Carrier:  transferrer.New(transferrer.Config{Ledger: e.members, Holder: retained, Peer: e.gossiper.Peer, Store: e.platform}),
 		Sealer:   sealer.New(sealer.Config{Key: key}),
-		Recorder: records, Daemons: e.ledger, Logger: e.c.Logger, Metrics: e.scope, EarnRetry: budget.Earn,
+		Recorder: records, Daemons: e.members, Logger: e.c.Logger, Metrics: e.scope, EarnRetry: budget.Earn,
 	})
-	e.tree = suture.New("entry", suture.Spec{EventHook: e.event})
+	e.tree = suture.New("entry", suture.Spec{EventHook: e.logSupervisorEvent})
 	e.tree.Add(watcher.New(watcher.Config{
-		Platform: e.platform, Sink: e, OnResult: e.platformReport,
+		Platform: e.platform, Sink: e, OnResult: e.onPlatformReport,
 		Prefixes: []string{inventory.ConfigurationPrefix, inventory.HostPrefix, inventory.NoticePrefix, inventory.MemberPrefix},
 	}))
-	e.tree.Add(e.exchanger)
-	e.tree.Add(e.evacuator)
+	e.tree.Add(e.gossiper)
+	e.tree.Add(e.migrator)
 	e.tree.Add(poller.New(poller.Config{
-		Registry: e.registry, Ledger: e.ledger, Caller: endpoints, OnReport: e.exchanger.ShareReport,
+		Registry: e.registry, Ledger: e.members, Caller: endpoints, OnReport: e.gossiper.ShareReport,
 	}))
-	e.tree.Add(&registrar{e: e})
-	e.tree.Add(&gauges{e: e})
+	e.tree.Add(&memberRegistrar{e: e})
+	e.tree.Add(&gaugeUpdater{e: e})
 }
 
-// listen opens the listeners and adds their servers to the tree.
+// listen opens the listeners and adds their servers to the supervisor tree.
 func (e *Entry) listen(key []byte) error {
 	s := e.c.Settings
 	peers := http.NewServeMux()
 	peers.Handle(rpc.PeerPathPrefix, signer.New(signer.Config{
 		Key: key, Host: s.Host, Addresses: []string{s.Peers.String(), s.PeerAddress().String()},
-	}).Verify(rpc.NewPeerServer(e.exchanger)))
+	}).Verify(rpc.NewPeerServer(e.gossiper)))
 	for _, l := range []struct {
 		name    string
 		address settings.Address
 		handler http.Handler
 	}{
 		{"callers", s.Callers, e.handler},
-		{"operators", s.Operators, e.operators()},
+		{"operators", s.Operators, e.operatorHandler()},
 		{"peers", s.Peers, peers},
 	} {
 		listener, err := net.Listen("tcp", l.address.String())
@@ -252,18 +251,18 @@
 	return nil
 }
 
-func (e *Entry) operators() http.Handler {
+func (e *Entry) operatorHandler() http.Handler {
 	keys := make(map[string]string)
 	for _, k := range e.c.Settings.OperatorKeys {
 		keys[k.KeyHash] = k.Name
 	}
 	o := operator.New(operator.Config{
 		Keys: keys, Keeper: e.keeper, Applier: applier.New(applier.Config{Store: e.platform, Keeper: e.keeper}),
-		Ledger: e.ledger, Registry: e.registry, Recorder: e.handler.Recorder(), Peer: e.exchanger.Peer, Trails: e.trails,
-		Repairs:  e.repairs,
+		Ledger: e.members, Registry: e.registry, Recorder: e.handler.Recorder(), Peer: e.gossiper.Peer, Trails: e.repairTrails,
+		Repairs:  e.repairRecord,
 		State:    func() string { return e.handler.Phase().String() },
 		InFlight: e.handler.InFlight, PlatformReachable: e.reachable.Load,
-		Drain:  func() { e.leave(time.Now().Add(e.c.Settings.Drain.Patience.Std())) },
+		Drain:  func() { e.requestStop(time.Now().Add(e.c.Settings.Drain.Patience.Std())) },
 		Logger: e.c.Logger,
 	})
 	mux := http.NewServeMux()
@@ -273,8 +272,8 @@
 	return mux
 }
 
-// trails are those of the zones in which hosts are listed.
-func (e *Entry) trails() []*auditor.Trail {
+// repairTrails returns the trails of the zones in which hosts are listed.
+func (e *Entry) repairTrails() []*auditor.Trail {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var out []*auditor.Trail
@@ -284,8 +283,9 @@
 	return out
 }
 
-// repairs reads a zone's repair record from the platform.
-func (e *Entry) repairs(ctx context.Context, zone identifier.AvailabilityZone) (*repairer.Record, error) {
+// repairRecord reads a zone's repair record from the platform. It returns an empty record if
+// there is none.
+func (e *Entry) repairRecord(ctx context.Context, zone identifier.AvailabilityZone) (*repairer.Record, error) {
 	var record repairer.Record
 	o, err := e.platform.Get(ctx, repairer.Key(zone))
 	if errors.Is(err, object.ErrMissing) {
@@ -300,13 +300,13 @@
 	return &record, nil
 }
 
-// Run serves until ctx ends, a notice comes or an operator drains the daemon,
-// and then stops gracefully.
+// Run serves until ctx ends, a reclaim notice arrives or an operator drains the daemon, and then
+// stops gracefully. It returns an error only if the supervisor tree ends early.
 func (e *Entry) Run(ctx context.Context) error {
 	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	done := e.tree.ServeBackground(running)
-	e.c.Logger.Info("entry daemon serves", "callers", e.c.Settings.Callers, "operators", e.c.Settings.Operators,
+	e.c.Logger.Info("entry daemon started", "callers", e.c.Settings.Callers, "operators", e.c.Settings.Operators,
 		"peers", e.c.Settings.Peers, "zone", e.c.Settings.AvailabilityZone)
 	deadline, err := e.awaitStop(ctx, done)
 	if err != nil {
@@ -314,11 +314,11 @@
 	}
 	e.c.Logger.Info("draining", "deadline", deadline.UTC().Format(time.RFC3339Nano))
 	e.handler.Drain(e.c.Settings.Drain.BalancerLag.Std(), deadline)
-	e.claimer.Wait(claimTime)
+	e.claimer.Wait(claimTimeout)
 	e.deregister(running)
 	cancel()
 	if err := <-done; err != nil && !errors.Is(err, context.Canceled) {
-		e.c.Logger.Warn("the tree ended", "error", err)
+		e.c.Logger.Warn("supervisor tree ended", "error", err)
 	}
 	_ = e.closer()
 	e.c.Logger.Info("stopped")
@@ -336,15 +336,15 @@
 	}
 }
 
-// leave asks for a graceful stop; only the first call counts.
-func (e *Entry) leave(deadline time.Time) {
+// requestStop requests a graceful stop by a deadline. Only the first call has an effect.
+func (e *Entry) requestStop(deadline time.Time) {
 	select {
 	case e.stop <- deadline:
 	default:
 	}
 }
 
-func (e *Entry) event(event suture.Event) {
+func (e *Entry) logSupervisorEvent(event suture.Event) {
 	if event.Type() == suture.EventTypeStopTimeout {
 		return
 	}
@@ -352,9 +352,9 @@
 }
 
 const (
-	firstPause = 200 * time.Millisecond
-	longPause  = 5 * time.Second
-	// renewPause leaves several renewals within the age at which a record
-	// counts as left behind; see package sweeper.
-	renewPause = 15 * time.Minute
+	minRegisterBackoff = 200 * time.Millisecond
+	maxRegisterBackoff = 5 * time.Second
+	// renewInterval allows for several renewals within the age at which a record counts as
+	// abandoned; see package sweeper.
+	renewInterval = 15 * time.Minute
 )
--- a/internal/role/entry/registrar.go
+++ b/internal/role/entry/registrar.go
@@ -10,36 +10,37 @@
 	"brasschute/internal/platform/object"
 )
 
-// gauges keeps the metrics that nothing else updates.
-type gauges struct{ e *Entry }
+// gaugeUpdater updates the gauges that no event updates.
+type gaugeUpdater struct{ e *Entry }
 
 // Serve updates the gauges until ctx ends.
-func (g *gauges) Serve(ctx context.Context) error {
-	return waiter.Every(ctx, reportPeriod, func(context.Context) { g.e.gauge() })
+func (g *gaugeUpdater) Serve(ctx context.Context) error {
+	return waiter.Every(ctx, metricsInterval, func(context.Context) { g.e.updateGauges() })
 }
 
-func (e *Entry) gauge() {
+func (e *Entry) updateGauges() {
 	in, out := e.meter.Bytes()
 	e.scope.Gauge("peer_bytes_in").Update(float64(in))
 	e.scope.Gauge("peer_bytes_out").Update(float64(out))
 	e.scope.Gauge("platform_calls").Update(float64(e.platform.Calls()))
 	e.scope.Gauge("requests_in_flight").Update(float64(e.handler.InFlight()))
-	e.scope.Gauge("members").Update(float64(e.ledger.Count()))
+	e.scope.Gauge("members").Update(float64(e.members.Count()))
 }
 
-// registrar lists the daemon on the platform, so that peers find it.
-type registrar struct{ e *Entry }
+// memberRegistrar registers the daemon on the platform, so that peers find it.
+type memberRegistrar struct{ e *Entry }
 
-// Serve registers, repeating until it succeeds, and then renews now and then.
-func (r *registrar) Serve(ctx context.Context) error {
-	pause := firstPause
+// Serve registers the daemon, with backoff until it succeeds, and then renews the registration
+// every renewInterval.
+func (r *memberRegistrar) Serve(ctx context.Context) error {
+	backoff := minRegisterBackoff
 	for ctx.Err() == nil {
-		next := pause
+		wait := backoff
 		if err := r.e.register(ctx); err == nil {
-			pause, next = firstPause, renewPause
+			backoff, wait = minRegisterBackoff, renewInterval
 		}
-		waiter.For(ctx, next)
-		pause = min(2*pause, longPause)
+		waiter.For(ctx, wait)
+		backoff = min(2*backoff, maxRegisterBackoff)
 	}
 	return ctx.Err()
 }
@@ -49,7 +50,7 @@
 }
 
 func (e *Entry) register(ctx context.Context) error {
-	self := e.ledger.Self()
+	self := e.members.Self()
 	m := inventory.Member{
 		Host: e.c.Settings.Host, AvailabilityZone: e.c.Settings.AvailabilityZone,
 		Incarnation: identifier.Incarnation(self.Incarnation), PeerAddress: self.PeerAddress,
@@ -66,11 +67,11 @@
 	return err
 }
 
-// deregister tells peers and the platform that the daemon is gone; neither is
-// needed for safety, both save others a time-out.
+// deregister tells peers and the platform that the daemon is gone. Neither is needed for safety;
+// both save others a timeout.
 func (e *Entry) deregister(ctx context.Context) {
-	e.ledger.Leave()
-	e.exchanger.AnnounceShutdown(ctx)
+	e.members.Leave()
+	e.gossiper.AnnounceShutdown(ctx)
 	o, err := e.platform.Get(ctx, e.memberKey())
 	if err != nil {
 		return
