--- a/integration/duties_test.go
+++ b/integration/duties_test.go
@@ -189,7 +189,7 @@
 		alone.explained(t, "early", "not-run", "no configuration")
 		// The request may come before the answer to the daemon's first call.
 		eventually(t, "the line that the store is lost", func() error {
-			return want("line", len(alone.lines("store lost")) > 0, true)
+			return want("line", len(alone.lines("store unreachable")) > 0, true)
 		})
 	})
 	t.Run("counters", func(t *testing.T) {
--- a/integration/gateway_test.go
+++ b/integration/gateway_test.go
@@ -350,7 +350,7 @@
 	h.writeSettings("# a new seed")
 	h.signal(syscall.SIGHUP)
 	eventually(t, "read again", func() error {
-		if len(h.lines("settings read again")) == 0 {
+		if len(h.lines("settings reloaded")) == 0 {
 			return fmt.Errorf("not read")
 		}
 		return nil
--- a/internal/role/gateway/admission.go
+++ b/internal/role/gateway/admission.go
@@ -5,100 +5,101 @@
 	"time"
 
 	"brasschute/internal/core/identifier"
-	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/budgeter"
+	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/serve/request"
 )
 
-// Admit admits a request within its organisation's quota.
+// Admit charges a request to its organisation's quota and returns the verdict. It also credits
+// the retry budget of the request's service.
 func (g *Gateway) Admit(q *request.Request) quotalimiter.Decision {
-	g.budget(q.Service).Earn()
-	v := g.allotter.Admit(q.Organisation, q.Charge())
-	if q.Organisation != nil && v.Level < -deepTime.Seconds()*q.Organisation.RatePerSecond {
-		g.deep(q, v)
+	g.retryBudget(q.Service).Earn()
+	d := g.quotaLimiter.Admit(q.Organisation, q.Charge())
+	if q.Organisation != nil && d.Level < -overdraftThreshold.Seconds()*q.Organisation.RatePerSecond {
+		g.reportOverdraft(q, d)
 	}
-	if v.IsolatedFor > 0 {
-		g.alone(q, v)
+	if d.IsolatedFor > 0 {
+		g.reportIsolated(q, d)
 	}
-	return v
+	return d
 }
 
 const (
-	// deepTime's worth of a rate below zero is further than news that is seconds old
-	// explains: an estimate has gone astray, or a daemon gives out what it should not.
-	deepTime = 3 * time.Second
-	// linePause bounds the lines about quotas, of each kind.
-	linePause = 5 * time.Second
+	// overdraftThreshold is a quota's overdraft, in seconds of its rate, that updates a few
+	// seconds old cannot explain: beyond it an estimate is wrong, or a daemon admits too much.
+	overdraftThreshold = 3 * time.Second
+	// quotaLogInterval is the least time between log lines about quotas, for each kind of line.
+	quotaLogInterval = 5 * time.Second
 )
 
-// deep counts a request that found its organisation's level far below zero, and writes
-// a line now and then.
-func (g *Gateway) deep(q *request.Request, v quotalimiter.Decision) {
+// reportOverdraft counts a request whose quota is overdrawn by more than overdraftThreshold,
+// and logs it at most once in quotaLogInterval.
+func (g *Gateway) reportOverdraft(q *request.Request, d quotalimiter.Decision) {
 	g.scope.Tagged(map[string]string{"organisation": string(q.Organisation.Name)}).Counter("quota_levels_deep").Inc(1)
-	if !due(&g.deepTold) {
+	if !logDue(&g.overdraftLoggedAt) {
 		return
 	}
-	g.c.Logger.Warn("level of a quota far below zero", "request", q.ID, "organisation", q.Organisation.Name, "left", int(v.Level),
-		"rate", int(v.Rate), "set_aside", v.Reserved, "news_age_ms", g.swapper.MaxDigestAge().Milliseconds())
+	g.c.Logger.Warn("quota overdrawn", "request", q.ID, "organisation", q.Organisation.Name, "left", int(d.Level),
+		"rate", int(d.Rate), "set_aside", d.Reserved, "news_age_ms", g.syncer.MaxDigestAge().Milliseconds())
 }
 
-// alone counts a request that found this daemon cut off from all others, which holds it to
-// its equal part of each quota, and writes a line now and then.
-func (g *Gateway) alone(q *request.Request, v quotalimiter.Decision) {
+// reportIsolated counts a request that arrived while this daemon was isolated from all peers,
+// which limits it to an equal share of each quota. It logs at most once in quotaLogInterval.
+func (g *Gateway) reportIsolated(q *request.Request, d quotalimiter.Decision) {
 	g.scope.Tagged(map[string]string{"organisation": string(q.Organisation.Name)}).Counter("quota_requests_cut_off").Inc(1)
-	if !due(&g.aloneTold) {
+	if !logDue(&g.isolatedLoggedAt) {
 		return
 	}
-	g.c.Logger.Warn("no other daemon is heard, quotas held to the equal part", "request", q.ID, "organisation", q.Organisation.Name,
-		"quiet_ms", v.IsolatedFor.Milliseconds(), "part", int(v.ShareLevel), "rate", int(v.Rate), "admitted", v.RetryAfter == 0)
+	g.c.Logger.Warn("isolated from all peers, quotas limited to an equal share", "request", q.ID, "organisation", q.Organisation.Name,
+		"quiet_ms", d.IsolatedFor.Milliseconds(), "part", int(d.ShareLevel), "rate", int(d.Rate), "admitted", d.RetryAfter == 0)
 }
 
-// due tells whether the last line was written linePause ago; if so, it is written now.
-func due(told *atomic.Int64) bool {
-	last, now := told.Load(), time.Now().UnixNano()
-	return now-last >= int64(linePause) && told.CompareAndSwap(last, now)
+// logDue reports whether quotaLogInterval has passed since loggedAt (Unix nanoseconds), and if
+// so sets loggedAt to now.
+func logDue(loggedAt *atomic.Int64) bool {
+	last, now := loggedAt.Load(), time.Now().UnixNano()
+	return now-last >= int64(quotaLogInterval) && loggedAt.CompareAndSwap(last, now)
 }
 
-// Spend grants a repeated send to a service.
-func (g *Gateway) Spend(s identifier.Service) bool { return g.budget(s).Spend() }
+// Spend takes one retry from a service's budget and reports whether it was available.
+func (g *Gateway) Spend(s identifier.Service) bool { return g.retryBudget(s).Spend() }
 
-// budget returns a service's retry budget: of the constant part each daemon has
-// an equal share, so that all together stay within it.
-func (g *Gateway) budget(s identifier.Service) *budgeter.Budgeter {
+// retryBudget returns a service's retry budget. Each daemon gets an equal share of the constant
+// reserve, so that all daemons together stay within it.
+func (g *Gateway) retryBudget(s identifier.Service) *budgeter.Budgeter {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	b := g.budgets[s]
+	b := g.retryBudgets[s]
 	if b == nil {
 		bounds := g.c.Deployment.Bounds
-		daemons := max(g.daemons(), g.fleetSize())
+		daemons := max(g.knownDaemons(), g.fleetSize())
 		b = budgeter.New(budgeter.Config{
-			Ratio:   bounds.RetryShare * budgetMargin,
-			Reserve: max(bounds.RetryReserve*budgetMargin/float64(daemons), 1),
+			Ratio:   bounds.RetryShare * retryBudgetFraction,
+			Reserve: max(bounds.RetryReserve*retryBudgetFraction/float64(daemons), 1),
 		})
-		g.budgets[s] = b
+		g.retryBudgets[s] = b
 	}
 	return b
 }
 
-// budgetMargin leaves room for daemons that start anew with a full reserve.
-const budgetMargin = 0.7
+// retryBudgetFraction leaves room for daemons that restart with a full reserve.
+const retryBudgetFraction = 0.7
 
-// began counts a request that began to run.
-func (g *Gateway) began(q *request.Request) {
+// countRequest counts a request that began to run, for its organisation's usage report.
+func (g *Gateway) countRequest(q *request.Request) {
 	if q.Organisation != nil {
-		g.tallier.RequestStarted(q.Organisation.Name)
+		g.usageCounter.RequestStarted(q.Organisation.Name)
 	}
 }
 
-// daemons counts those that send to the same endpoints.
-func (g *Gateway) daemons() int {
+// knownDaemons returns the number of known daemons that send to the same endpoints.
+func (g *Gateway) knownDaemons() int {
 	return g.roster.Count(time.Now())
 }
 
-// fleetSize estimates the number of daemons, heard or not. A process that starts
-// together with many others has heard nobody, and would take all quotas for its
-// own.
+// fleetSize estimates the number of daemons, including those not heard from. A process that
+// starts together with many others knows no peer yet, and would claim all quotas for itself.
 func (g *Gateway) fleetSize() int {
 	d := g.c.Deployment
-	return max(len(d.Zones), len(d.Seeds)+1, int(g.toldSize.Load()))
+	return max(len(d.Zones), len(d.Seeds)+1, int(g.reportedFleetSize.Load()))
 }
--- a/internal/role/gateway/beliefs.go
+++ b/internal/role/gateway/beliefs.go
@@ -8,45 +8,46 @@
 
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/core/waiter"
-	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/demandmeter"
 	"brasschute/internal/route/pacer"
 	"brasschute/internal/route/quarantiner"
+	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/splitter"
 )
 
-// ViewPath is where the metrics' listener tells what the daemon believes.
+// ViewPath is the path on the metrics listener that serves the daemon's [View].
 const ViewPath = "/beliefs"
 
-// View is what a daemon takes for true, with the age or version of each.
+// View is the daemon's local view of the system, with the age or version of each part. It is
+// served as JSON.
 type View struct {
 	Host          identifier.Host
 	Configuration identifier.ConfigurationNumber
-	// NewerConfiguration is the number that others were heard to have, for
-	// BehindMS milliseconds; 0 if the daemon is not behind.
+	// NewerConfiguration is the newest number that a peer reported, known for BehindMS
+	// milliseconds; 0 if the daemon is up to date.
 	NewerConfiguration identifier.ConfigurationNumber
 	BehindMS           int64
-	// FollowsStore: the daemon watches the store itself. StoreAgeMS is the
-	// time since the store answered, -1 if it never did.
+	// FollowsStore is true if the daemon watches the store itself. StoreAgeMS is the time since
+	// the store last answered, in milliseconds; -1 if it never did.
 	FollowsStore bool
 	StoreAgeMS   int64
 	HoldsDuties  bool
 	Fencing      uint64
-	// Part says how the daemon hears of the others: pair, member or relay.
+	// Part is the daemon's gossip role: pair, member or relay.
 	Part      string
 	Peers     []PeerView
 	Endpoints []EndpointView
 	Quotas    map[identifier.Organisation]quotalimiter.Account
 	Demands   map[identifier.Service]demandmeter.Demand
-	// Rollouts are the orders that are known, OrdersKnown whether they have been read or
-	// heard of at all.
+	// Rollouts are the known roll-out orders. OrdersKnown is true once the orders were read from
+	// the store or received from a peer, even if there are none.
 	Rollouts    []RolloutView
 	OrdersKnown bool
-	// Quarantine lists the requests under which endpoints ended, those that are held first;
-	// Forgotten counts those for which there was no room.
+	// Quarantine lists the requests under which endpoints ended, those in quarantine first.
+	// Forgotten counts the requests dropped for lack of room.
 	Quarantine []quarantiner.Suspect
 	Forgotten  int
-	// Limits are what endpoints say they take, as far as it is known.
+	// Limits are the rate limits that endpoints named in their answers, as far as known.
 	Limits []pacer.Limit
 }
 
@@ -55,21 +56,24 @@
 	Service identifier.Service
 	Target  identifier.Version
 	Order   string
-	// Phase is the furthest that is known, Stored the one in the store.
+	// Phase is the furthest phase known, Stored the phase in the store.
 	Phase, Stored string
-	// SinceMS is how long the order has been known, GrantMS how long ago the holder of the
-	// duties said to go on (-1 if never), EndsMS when the old endpoints are to end.
+	// SinceMS is how long the order has been known. GrantMS is the time since the lease holder
+	// last allowed the roll-out to continue, -1 if never. EndsMS is the time until the old
+	// endpoints are to end. All are in milliseconds.
 	SinceMS, GrantMS, EndsMS int64
-	// Asked counts this daemon's requests since the order, Earned the trials that it may
-	// still send. Endpoints are by version, Tallies what its requests met.
+	// Asked counts this daemon's requests since the order. Earned is the number of canary
+	// requests it may still send. Endpoints are counted by version. Tallies are the outcomes of
+	// this daemon's requests.
 	Asked     int
 	Earned    float64
 	Endpoints map[identifier.Version]int
 	Tallies   []splitter.Tally
 }
 
-// PeerView is a daemon that is known. Configuration and HoldsDuties are told by daemons
-// that are heard directly, AgeMS is since a daemon was heard of.
+// PeerView is a known daemon. Configuration and HoldsDuties come from daemons that send their
+// digests to this one directly. AgeMS is the time since the daemon was last heard of, in
+// milliseconds.
 type PeerView struct {
 	Host          string
 	Zone          identifier.AvailabilityZone
@@ -90,31 +94,32 @@
 	Ejected  bool
 	Failures int
 	InFlight int32
-	// Busy is the part of its reading time that all daemons use, Slow how many
+	// Busy is the fraction of the endpoint's prefill time that all daemons use. Slow is how many
 	// times longer than predicted its first events took.
 	Busy float64
 	Slow float64
-	// RestsMS is for how long it still wants nothing from this daemon, 0 if it does not.
+	// RestsMS is the time left of the backoff that the endpoint asked this daemon for, in
+	// milliseconds; 0 if none.
 	RestsMS int64
 }
 
-// beliefs answers with the daemon's beliefs as JSON.
-func (g *Gateway) beliefs(w http.ResponseWriter, _ *http.Request) {
+// serveView serves the daemon's view as JSON.
+func (g *Gateway) serveView(w http.ResponseWriter, _ *http.Request) {
 	now := time.Now()
 	b := View{
-		Host: g.c.Deployment.Host, FollowsStore: g.follows(), StoreAgeMS: -1,
-		Quotas: g.allotter.Accounts(), Demands: g.demander.Demands(), Part: g.part().String(),
+		Host: g.c.Deployment.Host, FollowsStore: g.watchesStore(), StoreAgeMS: -1,
+		Quotas: g.quotaLimiter.Accounts(), Demands: g.demandMeter.Demands(), Part: g.gossipRole().String(),
 		Quarantine: g.quarantine.List(), Forgotten: g.quarantine.EvictedCount(),
 		Limits: g.pacer.Limits(),
 	}
-	b.Rollouts, b.OrdersKnown = g.rolloutBeliefs(), g.splitter.OrdersKnown()
+	b.Rollouts, b.OrdersKnown = g.rolloutViews(), g.splitter.OrdersKnown()
 	if c := g.versioner.Current(); c != nil {
 		b.Configuration = c.Number()
 	}
-	if lag, is := g.versioner.Lag(); is {
+	if lag, behind := g.versioner.Lag(); behind {
 		b.NewerConfiguration, b.BehindMS = lag.Number, now.Sub(lag.Since).Milliseconds()
 	}
-	if at := g.storeHeard.Load(); at > 0 {
+	if at := g.storeAnsweredAt.Load(); at > 0 {
 		b.StoreAgeMS = now.Sub(time.Unix(0, at)).Milliseconds()
 	}
 	if g.lease != nil {
@@ -126,7 +131,7 @@
 			Host: string(d.Host), Zone: d.Zone, Address: d.Address, AgeMS: now.Sub(d.LastHeard()).Milliseconds(),
 			Relaying: d.Relaying, Observing: d.Observing,
 		}
-		if e, heard := direct[d.Host]; heard {
+		if e, received := direct[d.Host]; received {
 			p.Configuration, p.HoldsDuties = e.Digest.GetConfigurationNumber(), e.Digest.GetHoldsDuties()
 		}
 		b.Peers = append(b.Peers, p)
@@ -142,16 +147,16 @@
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
 	if err := encoder.Encode(b); err != nil {
-		g.c.Logger.Warn("beliefs not told", "error", err)
+		g.c.Logger.Warn("view not sent", "error", err)
 	}
 }
 
-func (g *Gateway) rolloutBeliefs() (out []RolloutView) {
+func (g *Gateway) rolloutViews() (out []RolloutView) {
 	now, tallies := g.uptime(), g.splitter.Tallies()
 	for _, o := range g.splitter.Orders() {
 		r := RolloutView{
-			Service: o.Service, Target: o.Target, Order: orderName(o.OrderID()), Phase: o.Phase.String(), Stored: o.Stored.String(),
-			SinceMS: now.Sub(o.LearnedAt).Milliseconds(), GrantMS: -1, Asked: o.Requests, Earned: o.CanaryBudget, Endpoints: g.versions(o.Service),
+			Service: o.Service, Target: o.Target, Order: formatOrder(o.OrderID()), Phase: o.Phase.String(), Stored: o.Stored.String(),
+			SinceMS: now.Sub(o.LearnedAt).Milliseconds(), GrantMS: -1, Asked: o.Requests, Earned: o.CanaryBudget, Endpoints: g.endpointsByVersion(o.Service),
 		}
 		if !o.GrantedAt.IsZero() {
 			r.GrantMS, r.EndsMS = now.Sub(o.GrantedAt).Milliseconds(), o.OldEndAt.Sub(now).Milliseconds()
@@ -166,18 +171,18 @@
 	return out
 }
 
-// metrics serves counters, and beliefs beside them.
-func (g *Gateway) metrics() http.Handler {
+// metricsHandler serves the metrics, the view and the release of requests from quarantine.
+func (g *Gateway) metricsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", g.reporter.HTTPHandler())
-	mux.HandleFunc("GET "+ViewPath, g.beliefs)
-	mux.HandleFunc("DELETE "+QuarantinePath+"{fingerprint}", g.liftHandler)
+	mux.HandleFunc("GET "+ViewPath, g.serveView)
+	mux.HandleFunc("DELETE "+QuarantinePath+"{fingerprint}", g.serveLift)
 	return mux
 }
 
-// gauge brings the gauges up to date that no event updates.
-func (g *Gateway) gauge(ctx context.Context) error {
-	return waiter.Every(ctx, reportPeriod, func(context.Context) { g.updateGauges() })
+// runGauges updates, every metricsInterval, the gauges that no event updates.
+func (g *Gateway) runGauges(ctx context.Context) error {
+	return waiter.Every(ctx, metricsInterval, func(context.Context) { g.updateGauges() })
 }
 
 func (g *Gateway) updateGauges() {
@@ -185,7 +190,7 @@
 	g.scope.Gauge("peer_bytes_in").Update(float64(in))
 	g.scope.Gauge("peer_bytes_out").Update(float64(out))
 	behind := 0.0
-	if lag, is := g.versioner.Lag(); is {
+	if lag, ok := g.versioner.Lag(); ok {
 		behind = time.Since(lag.Since).Seconds()
 	}
 	g.scope.Gauge("configuration_behind_seconds").Update(behind)
--- a/internal/role/gateway/cut_test.go
+++ b/internal/role/gateway/cut_test.go
@@ -13,153 +13,153 @@
 	"brasschute/internal/core/identifier"
 )
 
-var errCut = errors.New("the host is cut off")
+var errIsolated = errors.New("host is isolated")
 
-// cutNetwork is the network of a host that can be cut off: its connections fail, and new
-// ones too.
-type cutNetwork struct {
+// isolatableNetwork is the network of a host that can be isolated: its connections fail,
+// existing and new ones.
+type isolatableNetwork struct {
 	Network
-	cut atomic.Bool
+	isolated atomic.Bool
 }
 
-type cutConn struct {
+type isolatableConn struct {
 	net.Conn
-	n *cutNetwork
+	n *isolatableNetwork
 }
 
-func (c cutConn) Read(p []byte) (int, error) {
+func (c isolatableConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if c.n.cut.Load() {
-		return 0, errCut
+	if c.n.isolated.Load() {
+		return 0, errIsolated
 	}
 	return n, err
 }
 
-func (c cutConn) Write(p []byte) (int, error) {
-	if c.n.cut.Load() {
-		return 0, errCut
+func (c isolatableConn) Write(p []byte) (int, error) {
+	if c.n.isolated.Load() {
+		return 0, errIsolated
 	}
 	return c.Conn.Write(p)
 }
 
-type cutListener struct {
+type isolatableListener struct {
 	net.Listener
-	n *cutNetwork
+	n *isolatableNetwork
 }
 
-func (l cutListener) Accept() (net.Conn, error) {
+func (l isolatableListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return cutConn{c, l.n}, nil
+	return isolatableConn{c, l.n}, nil
 }
 
-// DialContext opens a connection unless the host is cut off.
-func (n *cutNetwork) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
-	if n.cut.Load() {
-		return nil, errCut
+// DialContext opens a connection unless the host is isolated.
+func (n *isolatableNetwork) DialContext(ctx context.Context, network, address string) (net.Conn, error) {
+	if n.isolated.Load() {
+		return nil, errIsolated
 	}
 	c, err := n.Network.DialContext(ctx, network, address)
 	if err != nil {
 		return nil, err
 	}
-	return cutConn{c, n}, nil
+	return isolatableConn{c, n}, nil
 }
 
-// Listen opens a listener of the host.
-func (n *cutNetwork) Listen(address netip.AddrPort) (net.Listener, error) {
+// Listen opens a listener at an address of the host.
+func (n *isolatableNetwork) Listen(address netip.AddrPort) (net.Listener, error) {
 	l, err := n.Network.Listen(address)
 	if err != nil {
 		return nil, err
 	}
-	return cutListener{l, n}, nil
+	return isolatableListener{l, n}, nil
 }
 
-// relays lists the daemons that relay.
+// relays returns the indices of the relays.
 func (f *testFleet) relays() (out []int) {
 	for i, g := range f.daemons {
-		if g.relaying() {
+		if g.isRelay() {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// uncut lists the daemons that are not cut off.
-func (f *testFleet) uncut() (out []int) {
+// connected returns the indices of the daemons that are not isolated.
+func (f *testFleet) connected() (out []int) {
 	for i := range f.daemons {
-		if !f.networks[i].cut.Load() {
+		if !f.networks[i].isolated.Load() {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// tell makes one daemon charge an organisation, and waits until some others know. It
-// returns how many of them do not after a time.
-func (f *testFleet) tell(name string, from int, to []int, most time.Duration) (ignorant int) {
+// chargeAndWait charges an organisation at one daemon and waits until some others know. It
+// returns how many of them do not know after the timeout.
+func (f *testFleet) chargeAndWait(name string, from int, to []int, timeout time.Duration) (unaware int) {
 	const charge = 1000
-	f.daemons[from].allotter.Admit(&catalog.Organisation{Name: identifier.Organisation(name)}, charge)
-	for began := time.Now(); time.Since(began) < most; time.Sleep(look) {
-		ignorant = 0
+	f.daemons[from].quotaLimiter.Admit(&catalog.Organisation{Name: identifier.Organisation(name)}, charge)
+	for began := time.Now(); time.Since(began) < timeout; time.Sleep(pollInterval) {
+		unaware = 0
 		for _, i := range to {
-			if f.daemons[i].known(name) < charge {
-				ignorant++
+			if f.daemons[i].knownCharge(name) < charge {
+				unaware++
 			}
 		}
-		if ignorant == 0 {
+		if unaware == 0 {
 			return 0
 		}
 	}
-	return ignorant
+	return unaware
 }
 
-// All relays of a fleet are cut off at once. Those daemons that go next by name take over:
-// news goes on within seconds, the store is followed, and when the former relays are back
-// nobody counts twice what was charged meanwhile.
+// All relays of a fleet are isolated at once. The daemons next in the order of names take
+// over: digests spread again within seconds, the store is watched, and when the former relays
+// are back no daemon counts charges made meanwhile twice.
 func TestNewsGoesOnWithoutTheRelays(t *testing.T) {
 	inFleetOf(t, fleetShape{60, 4}, func(f *testFleet) {
 		f.settle()
-		former := f.relays()
-		if n := f.tell("before", former[0], f.uncut(), 3*time.Second); n > 0 {
-			t.Fatalf("%d daemons do not know before the cut", n)
+		relays := f.relays()
+		if n := f.chargeAndWait("before", relays[0], f.connected(), 3*time.Second); n > 0 {
+			t.Fatalf("%d daemons do not know before the isolation", n)
 		}
 		time.Sleep(startTime)
-		for _, i := range former {
-			f.networks[i].cut.Store(true)
+		for _, i := range relays {
+			f.networks[i].isolated.Store(true)
 		}
-		left := f.uncut()
+		remaining := f.connected()
 		time.Sleep(6 * time.Second)
-		if n := f.tell("during", left[0], left, 3*time.Second); n > 0 {
-			t.Errorf("%d of %d daemons do not know of each other without the former relays", n, len(left))
+		if n := f.chargeAndWait("during", remaining[0], remaining, 3*time.Second); n > 0 {
+			t.Errorf("%d of %d daemons do not know of each other without the former relays", n, len(remaining))
 		}
-		f.grow(1)
+		f.addRoutes(1)
 		time.Sleep(applyTime)
-		for _, i := range left {
-			if g := f.daemons[i]; g.number() != uint64(f.number) {
-				t.Errorf("%s has configuration %d, %d is in the store", g.c.Deployment.Host, g.number(), f.number)
+		for _, i := range remaining {
+			if g := f.daemons[i]; g.configurationNumber() != uint64(f.number) {
+				t.Errorf("%s has configuration %d, %d is in the store", g.c.Deployment.Host, g.configurationNumber(), f.number)
 			}
 		}
-		for _, i := range former {
-			f.networks[i].cut.Store(false)
+		for _, i := range relays {
+			f.networks[i].isolated.Store(false)
 		}
 		time.Sleep(12 * time.Second)
-		if n := f.tell("after", former[0], f.uncut(), 3*time.Second); n > 0 {
-			t.Errorf("%d daemons do not know after the cut", n)
+		if n := f.chargeAndWait("after", relays[0], f.connected(), 3*time.Second); n > 0 {
+			t.Errorf("%d daemons do not know after the isolation", n)
 		}
-		// Those that were cut off take over what is left of the quotas instead of the totals.
-		// What was charged while nobody relayed is estimated by the rates of before.
-		const most = 1500
-		for _, i := range left {
+		// The isolated daemons take over the quotas' levels instead of the totals. Charges made
+		// while nobody relayed are estimated from earlier rates.
+		const maxKnown = 1500
+		for _, i := range remaining {
 			g := f.daemons[i]
 			for _, name := range []string{"before", "during", "after"} {
-				if known := g.known(name); known > most {
-					t.Errorf("%s takes %s to have charged %.0f of 1000", g.c.Deployment.Host, name, known)
+				if known := g.knownCharge(name); known > maxKnown {
+					t.Errorf("%s assumes that %s charged %.0f of 1000", g.c.Deployment.Host, name, known)
 				}
 			}
 		}
-		if behind := f.behind(); len(behind) > 0 {
+		if behind := f.daemonsBehind(); len(behind) > 0 {
 			t.Errorf("%d daemons are behind: %v", len(behind), behind)
 		}
 	})
--- a/internal/role/gateway/departures.go
+++ b/internal/role/gateway/departures.go
@@ -9,28 +9,28 @@
 	"brasschute/internal/serve/request"
 )
 
-// departs takes in that an endpoint says in an answer that it leaves. It counts for that life
-// of the endpoint, whatever the store says of it: an endpoint may be cut off from the store,
-// or the store be away.
-func (g *Gateway) departs(q *request.Request, pick *registry.Pick) {
+// markDeparting marks an endpoint as leaving because its own answer said so. The mark applies
+// to this incarnation of the endpoint, whatever the store says: the endpoint may be unable to
+// reach the store, or the store may be unavailable.
+func (g *Gateway) markDeparting(q *request.Request, pick *registry.Pick) {
 	if !g.registry.MarkLeaving(pick.Host, pick.Incarnation, time.Time{}) {
 		return
 	}
 	g.scope.Counter("endpoint_departures").Inc(1)
-	if g.limitLines.Allow() {
+	if g.endpointLogs.Allow() {
 		g.c.Logger.Info("endpoint leaving", "endpoint", pick.Endpoint, "life", pick.Incarnation, "source", sourceAnswer, "request", q.ID)
 	}
-	g.swapper.TriggerNotes(true)
+	g.syncer.TriggerNotes(true)
 }
 
-// sourceAnswer names an endpoint's own answer as a source.
+// sourceAnswer names an endpoint's own answer as the source of a change.
 const sourceAnswer = "answer"
 
-// leaving lists the endpoints that are listed and known to leave, for peers that do not
-// tell lives of an endpoint apart and for those that do.
-func (g *Gateway) leaving() (ids []string, departures []*rpc.Departure) {
+// leavingEndpoints returns the listed endpoints that are leaving: ids for peers that do not
+// distinguish incarnations of an endpoint, departures for those that do.
+func (g *Gateway) leavingEndpoints() (ids []string, departures []*rpc.Departure) {
 	for _, h := range g.registry.Hosts() {
-		if g.leaves(&h) {
+		if g.isLeaving(&h) {
 			ids = append(ids, string(h.Host))
 			departures = append(departures, &rpc.Departure{Endpoint: string(h.Host), Born: int64(h.Born)})
 		}
@@ -38,8 +38,8 @@
 	return ids, departures
 }
 
-// leaves tells whether an endpoint is known to leave: from the store, from itself, or from
-// another daemon.
-func (g *Gateway) leaves(h *inventory.Host) bool {
+// isLeaving reports whether an endpoint is known to be leaving: from the store, from the
+// endpoint itself, or from another daemon.
+func (g *Gateway) isLeaving(h *inventory.Host) bool {
 	return h.State == inventory.StateLeaving || g.registry.HostLeaving(h)
 }
--- a/internal/role/gateway/departures_test.go
+++ b/internal/role/gateway/departures_test.go
@@ -8,14 +8,15 @@
 	"brasschute/platform"
 )
 
-// leaversKnown lists the endpoints that a daemon knows to leave.
-func (g *Gateway) leaversKnown() []string {
-	ids, _ := g.leaving()
+// knownLeaving returns the endpoints that a daemon knows to be leaving.
+func (g *Gateway) knownLeaving() []string {
+	ids, _ := g.leavingEndpoints()
 	return ids
 }
 
-// One daemon is told that an engine leaves. All others know it soon, also one that starts later,
-// and the store's word that it is ready takes nothing back. The engine's next life is free.
+// An engine tells one daemon that it is leaving. All other daemons must learn it soon, also one
+// that starts later, and a store record that says "ready" must not revoke it. The engine's next
+// incarnation must not be affected.
 func TestAllDaemonsKnowOfAnAnswerThatAnEngineLeaves(t *testing.T) {
 	first := func(place int, _ time.Duration) http.Header {
 		if place == 0 {
@@ -23,9 +24,9 @@
 		}
 		return nil
 	}
-	inSpokenFleet(t, 8, first, func(s *spoken, _ *engines) {
-		for len(s.told) == 0 {
-			s.f.ask(0, streamPath, s.f.name())
+	inHeaderFleet(t, 8, first, func(s *headerRecorder, _ *engineFleet) {
+		for len(s.firstToldAt) == 0 {
+			s.f.ask(0, streamPath, s.f.randomName())
 		}
 		time.Sleep(time.Second)
 		s.f.start(1)
@@ -37,42 +38,42 @@
 		s.f.store.Write(platform.EndpointKind, "i-001", record(same))
 		time.Sleep(time.Second)
 		for _, g := range s.f.daemons {
-			if known := g.leaversKnown(); len(known) != 1 || known[0] != "i-001" {
-				t.Errorf("%s knows to leave: %v", g.c.Deployment.Host, known)
+			if known := g.knownLeaving(); len(known) != 1 || known[0] != "i-001" {
+				t.Errorf("%s knows as leaving: %v", g.c.Deployment.Host, known)
 			}
 		}
 		s.f.store.Write(platform.EndpointKind, "i-001", record(same+5000))
 		time.Sleep(time.Second)
 		for _, g := range s.f.daemons {
-			if known := g.leaversKnown(); len(known) != 0 {
-				t.Errorf("%s takes the next life to leave, too: %v", g.c.Deployment.Host, known)
+			if known := g.knownLeaving(); len(known) != 0 {
+				t.Errorf("%s also marked the next incarnation as leaving: %v", g.c.Deployment.Host, known)
 			}
 		}
 	})
 }
 
-// What does not say that an engine leaves: other values, a connection that closes, and the
-// answer of another engine that has its address by now.
+// Checks answers that do not mark an engine as leaving: other values of the header, a connection
+// that closes, and the answer of another engine that now has the address.
 func TestWordsThatDoNotSayThatAnEngineLeaves(t *testing.T) {
-	words := []http.Header{
+	headers := []http.Header{
 		{"Server-Leaving": {"0"}}, {"Server-Leaving": {""}}, {"Server-Leaving": {"NaN"}}, {"Connection": {"close"}},
 	}
-	inSpokenFleet(t, 8, func(place int, _ time.Duration) http.Header { return words[place%len(words)] }, func(s *spoken, e *engines) {
-		s.f.load(45, 4*time.Second)
+	inHeaderFleet(t, 8, func(place int, _ time.Duration) http.Header { return headers[place%len(headers)] }, func(s *headerRecorder, e *engineFleet) {
+		s.f.sendSteady(45, 4*time.Second)
 		for _, g := range s.f.daemons {
-			if known := g.leaversKnown(); len(known) != 0 {
-				t.Errorf("%s takes to leave: %v", g.c.Deployment.Host, known)
+			if known := g.knownLeaving(); len(known) != 0 {
+				t.Errorf("%s marked as leaving: %v", g.c.Deployment.Host, known)
 			}
 		}
-		e.say = func(int, string, *http.Request) http.Header { return http.Header{"Server-Leaving": {"1"}} }
+		e.answerHeaders = func(int, string, *http.Request) http.Header { return http.Header{"Server-Leaving": {"1"}} }
 		s.f.store.Write(platform.EndpointKind, "i-gone", map[string]any{
 			"Service": modelService, "Address": "10.64.0.1:8745", "Zone": "zone-0", "State": "ready", "Slots": 8, "born": 1,
 		})
-		s.f.load(45, 2*time.Second)
+		s.f.sendSteady(45, 2*time.Second)
 		for _, g := range s.f.daemons {
-			for _, id := range g.leaversKnown() {
+			for _, id := range g.knownLeaving() {
 				if id == "i-gone" {
-					t.Errorf("%s believes an engine of which another one spoke", g.c.Deployment.Host)
+					t.Errorf("%s marked an engine as leaving because of another engine's answer", g.c.Deployment.Host)
 				}
 			}
 		}
--- a/internal/role/gateway/duties.go
+++ b/internal/role/gateway/duties.go
@@ -12,11 +12,11 @@
 	"brasschute/internal/config/document"
 	"brasschute/internal/core/identifier"
 	"brasschute/internal/core/waiter"
-	"brasschute/internal/fleet/usagereporter"
-	"brasschute/internal/fleet/leaser"
 	"brasschute/internal/fleet/autoscaler"
+	"brasschute/internal/fleet/leaser"
 	"brasschute/internal/fleet/promoter"
 	"brasschute/internal/fleet/sizer"
+	"brasschute/internal/fleet/usagereporter"
 	"brasschute/internal/peer/gatherer"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/route/demandmeter"
@@ -27,44 +27,47 @@
 )
 
 const (
-	// leaseKey is the lease under which one daemon holds all duties.
+	// leaseKey is the key of the lease whose holder performs all duties.
 	leaseKey = "leases/duties"
-	// orderTime is the longest that a call of a former holder is on its way:
-	// calls end after a second on this side.
-	orderTime = time.Second
-	// ledTime is how long a peer is believed to hold the lease after it has said
-	// so: the holder tells those that stand for it once in tellPause.
-	ledTime   = 1500 * time.Millisecond
-	tellPause = time.Second
-	// dutyPause is how often the holder looks at what is due.
-	dutyPause = 500 * time.Millisecond
-	// settleMargin is added to the time that counts of other daemons take.
+	// maxOrderDelay is how long a call of a former holder may still be in flight: the caller ends
+	// calls after a second.
+	maxOrderDelay = time.Second
+	// holderTimeout is how long a peer counts as the lease holder after it has said so. The
+	// holder notifies the candidates every holderNoteInterval.
+	holderTimeout      = 1500 * time.Millisecond
+	holderNoteInterval = time.Second
+	// dutyInterval is how often the holder checks which duties are due.
+	dutyInterval = 500 * time.Millisecond
+	// settleMargin is added to the time that other daemons' counts take to arrive.
 	settleMargin = 700 * time.Millisecond
-	// dueMargin is kept from the time at which a report is due.
-	dueMargin = 500 * time.Millisecond
+	// reportMargin is kept free before the time at which a usage report is due.
+	reportMargin = 500 * time.Millisecond
 )
 
-// duties are the parts that only the holder of the lease acts in.
+// duties are the tasks that only the lease holder performs.
 type duties struct {
-	g          *Gateway
-	cloud      *platform.Cloud
-	accountant *usagereporter.Reporter
-	orderer    *autoscaler.Autoscaler
-	promoter   *promoter.Promoter
-	// beat numbers what is told of roll-outs; storing: a state of one is being stored, or
-	// was not a moment ago; lacksTold is when it was last written down what they lack.
-	beat      uint64
-	storing   atomic.Bool
-	lacksTold time.Time
-	// told is when the others were last told that the duties are held.
-	told time.Time
-	// sized is when the fleet's size was last looked at, addresses those stored.
-	sized     time.Time
-	addresses []string
-	// quotasVersion is that of the stored levels of quotas.
-	quotasVersion uint64
-	// quarantine is the state of the held requests that is stored.
-	quarantine string
+	g             *Gateway
+	cloud         *platform.Cloud
+	usageReporter *usagereporter.Reporter
+	autoscaler    *autoscaler.Autoscaler
+	promoter      *promoter.Promoter
+	// grantSequence numbers the announced roll-out grants.
+	grantSequence uint64
+	// storingStatus is set while a roll-out's status is being stored, and for statusRetryDelay
+	// after a failure.
+	storingStatus atomic.Bool
+	// blockedLoggedAt is when a blocked roll-out was last logged.
+	blockedLoggedAt time.Time
+	// holderNotedAt is when the candidates were last notified that the lease is held.
+	holderNotedAt time.Time
+	// fleetCheckedAt is when the fleet was last compared with its record; storedAddresses are
+	// the addresses in the record.
+	fleetCheckedAt  time.Time
+	storedAddresses []string
+	// storedQuotasVersion is the version of the stored quotas' levels.
+	storedQuotasVersion uint64
+	// storedQuarantine is the state of the stored quarantine, as heldRequests returns it.
+	storedQuarantine string
 }
 
 func (g *Gateway) buildDuties() {
@@ -74,38 +77,39 @@
 	}
 	g.lease = leaser.New(leaser.Config{
 		Store: g.store, Key: leaseKey, Host: d.Host, Duration: d.Bounds.LeaseTime, Now: g.uptime,
-		MaxOrderDelay: orderTime, HeldByOther: g.isLed, OnUnreadable: func(err error) { g.unreadable([]error{err}) },
+		MaxOrderDelay: maxOrderDelay, HeldByOther: g.heldByOther, OnUnreadable: func(err error) { g.logUnreadable([]error{err}) },
 		OnChange: func(fencing uint64, held bool) {
 			g.c.Logger.Info("duties", "held", held, "fencing", fencing)
 		},
 	})
-	u := &duties{g: g, cloud: platform.NewCloud(d.Cloud.String(), g.platformCaller()), promoter: promoter.New(promoter.Config{MaxShare: d.Bounds.CanaryShare})}
-	u.accountant = usagereporter.New(usagereporter.Config{
-		Store: g.store, Now: g.clock.Now, Window: d.Bounds.UsageWindow, ReportWithin: d.Bounds.UsageDue - dueMargin, SettleDelay: g.settleTime,
-		DaemonCounts: u.counted, Organisations: u.organisations, Send: u.report, Logger: g.c.Logger,
+	u := &duties{g: g, cloud: platform.NewCloud(d.Cloud.String(), g.newPlatformClient()), promoter: promoter.New(promoter.Config{MaxShare: d.Bounds.CanaryShare})}
+	u.usageReporter = usagereporter.New(usagereporter.Config{
+		Store: g.store, Now: g.clock.Now, Window: d.Bounds.UsageWindow, ReportWithin: d.Bounds.UsageDue - reportMargin, SettleDelay: g.settleTime,
+		DaemonCounts: u.processCounts, Organisations: u.organisations, Send: u.report, Logger: g.c.Logger,
 	})
-	u.orderer = autoscaler.New(autoscaler.Config{SetDesired: u.order, Logger: g.c.Logger, FirstStart: d.FirstStart})
-	g.tree.Add(service(g.keepLease))
+	u.autoscaler = autoscaler.New(autoscaler.Config{SetDesired: u.order, Logger: g.c.Logger, FirstStart: d.FirstStart})
+	g.tree.Add(serviceFunc(g.keepLease))
 	if !d.FirstStart {
-		g.tree.Add(g.readAtStart("size of the fleet", g.readSize))
-		g.tree.Add(g.readAtStart("levels of quotas", g.readQuotas))
-		g.tree.Add(g.readAtStart("requests in quarantine", g.readQuarantine))
+		g.tree.Add(g.readOnStart("fleet size", g.readFleet))
+		g.tree.Add(g.readOnStart("quota levels", g.readQuotas))
+		g.tree.Add(g.readOnStart("requests in quarantine", g.readQuarantine))
 	}
-	g.tree.Add(service(u.serve))
-	g.tree.Add(service(u.keepQuotas))
+	g.tree.Add(serviceFunc(u.serve))
+	g.tree.Add(serviceFunc(u.runQuotaStore))
 	if d.Rollouts {
-		g.tree.Add(service(u.keepRollouts))
+		g.tree.Add(serviceFunc(u.runRollouts))
 	}
 }
 
-// settleTime is how long counts of other daemons take.
-func (g *Gateway) settleTime() time.Duration { return g.swapper.MaxDigestAge() + settleMargin }
+// settleTime returns how long the counts of other daemons take to arrive.
+func (g *Gateway) settleTime() time.Duration { return g.syncer.MaxDigestAge() + settleMargin }
 
+// keepLease competes for the lease and renews it until ctx ends or the daemon stops.
 func (g *Gateway) keepLease(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		for !g.stopping.Load() && waiter.For(ctx, dutyPause) {
+		for !g.stopping.Load() && waiter.For(ctx, dutyInterval) {
 		}
 		cancel()
 	}()
@@ -116,37 +120,39 @@
 	return err
 }
 
-// release gives the duties to the next holder at once.
+// release gives up the lease, so that another daemon can acquire it at once.
 func (g *Gateway) release(ctx context.Context) {
 	if g.lease == nil {
 		return
 	}
 	if err := g.lease.Release(ctx); err != nil {
-		g.c.Logger.Warn("lease not released, it lapses", "error", err)
+		g.c.Logger.Warn("lease not released, it will expire", "error", err)
 	}
 }
 
+// serve performs the due duties every dutyInterval while the lease is held.
 func (u *duties) serve(ctx context.Context) error {
-	return waiter.Every(ctx, dutyPause, func(ctx context.Context) {
+	return waiter.Every(ctx, dutyInterval, func(ctx context.Context) {
 		if _, held := u.g.lease.Held(); held && !u.g.stopping.Load() {
-			u.tell(ctx)
+			u.notifyCandidates(ctx)
 		}
 		fencing, held := u.g.lease.HeldFor()
 		if !held || u.g.stopping.Load() {
 			return
 		}
-		u.keepSize(ctx)
-		u.keepQuarantine(ctx)
+		u.storeFleet(ctx)
+		u.storeQuarantine(ctx)
 		if u.g.c.Deployment.UsageReports {
-			u.accountant.Step(ctx, fencing)
+			u.usageReporter.Step(ctx, fencing)
 		}
 		if u.g.c.Deployment.FleetSizing {
-			u.orderer.Step(ctx, fencing, u.services())
+			u.autoscaler.Step(ctx, fencing, u.scalableServices())
 		}
 	})
 }
 
-// mandate names the holder, if the lease is still held right before a call.
+// mandate returns the proof of the lease for a call. It fails if the lease is no longer held under
+// the fencing number that the caller decided with.
 func (u *duties) mandate(fencing uint64) (platform.LeaseHolder, error) {
 	now, held := u.g.lease.HeldFor()
 	if !held || now != fencing {
@@ -171,11 +177,11 @@
 	return u.cloud.SetDesired(ctx, m, s, z, class, wanted)
 }
 
-// counted returns what each daemon counted, those that ended since included.
-func (u *duties) counted() []usagereporter.DaemonCounts {
+// processCounts returns the usage counts of each process, including processes that have ended.
+func (u *duties) processCounts() []usagereporter.DaemonCounts {
 	var out []usagereporter.DaemonCounts
-	own := u.g.digest()
-	for _, d := range u.newest(own) {
+	own := u.g.newDigest()
+	for _, d := range u.newestDigests(own) {
 		name := d.GetHost() + "/" + strconv.FormatUint(d.GetIncarnation(), 16)
 		c := usagereporter.DaemonCounts{Source: usagereporter.Source(xxhash.Sum64String(name)), Windows: make(map[int64]usagereporter.Counts)}
 		for _, n := range d.GetCounts() {
@@ -189,14 +195,14 @@
 	return out
 }
 
-// newest returns the newest digest of each daemon's process, heard from it or told by a
-// relay of its zone.
-func (u *duties) newest(own *rpc.Digest) map[processKey]*rpc.Digest {
+// newestDigests returns the newest digest of each process, received from the process itself or
+// from a relay of its zone.
+func (u *duties) newestDigests(own *rpc.Digest) map[processKey]*rpc.Digest {
 	now := time.Now()
 	out := make(map[processKey]*rpc.Digest)
-	for _, e := range slices.Concat(u.g.gatherer.Entries(now), u.g.parts.Entries(now), []gatherer.Entry{{Digest: own}}) {
+	for _, e := range slices.Concat(u.g.gatherer.Entries(now), u.g.relayedDigests.Entries(now), []gatherer.Entry{{Digest: own}}) {
 		k := processKey{e.Digest.GetHost(), e.Digest.GetIncarnation()}
-		// Across zones daemons do not tell what they count.
+		// Daemons of other zones do not send their counts.
 		if old := out[k]; old == nil || len(old.GetCounts()) == 0 || e.Digest.GetSequence() > old.GetSequence() && len(e.Digest.GetCounts()) > 0 {
 			out[k] = e.Digest
 		}
@@ -204,7 +210,7 @@
 	return out
 }
 
-// processKey names a daemon's process.
+// processKey identifies one process of a daemon.
 type processKey struct {
 	host        string
 	incarnation uint64
@@ -222,35 +228,35 @@
 	return out
 }
 
-// isLed tells whether a peer said lately that it holds the duties. In a large fleet
-// only those daemons stand for them that follow the store.
-func (g *Gateway) isLed() bool {
-	if !g.follows() {
+// heldByOther reports whether a peer recently said that it holds the lease. In a large fleet
+// only daemons that watch the store compete for the lease.
+func (g *Gateway) heldByOther() bool {
+	if !g.watchesStore() {
 		return true
 	}
-	return time.Since(time.Unix(0, g.ledAt.Load())) < ledTime
+	return time.Since(time.Unix(0, g.holderSeenAt.Load())) < holderTimeout
 }
 
-// tell lets the daemons that stand for the duties know that they are held. In a
-// large fleet digests come too seldom for that, each four seconds, and a killed
-// holder's duties would rest for as much longer.
-func (u *duties) tell(ctx context.Context) {
+// notifyCandidates notifies the candidates for the lease that it is held. In a large fleet
+// digests come only every four seconds, and after the loss of a holder its duties would not be
+// performed for that much longer.
+func (u *duties) notifyCandidates(ctx context.Context) {
 	now := time.Now()
-	if now.Sub(u.told) < tellPause {
+	if now.Sub(u.holderNotedAt) < holderNoteInterval {
 		return
 	}
-	u.told = now
+	u.holderNotedAt = now
 	var addresses []string
 	for _, d := range u.g.roster.LiveDaemons(now) {
 		if d.Observing {
 			addresses = append(addresses, d.Address)
 		}
 	}
-	u.g.swapper.SendNote(ctx, addresses)
+	u.g.syncer.SendNote(ctx, addresses)
 }
 
-// services describes what can be scaled, as it is now.
-func (u *duties) services() []autoscaler.Service {
+// scalableServices returns the services that can be scaled, with their demand and capacity.
+func (u *duties) scalableServices() []autoscaler.Service {
 	c := u.g.versioner.Current()
 	if c == nil {
 		return nil
@@ -263,13 +269,13 @@
 		}
 		out = append(out, autoscaler.Service{
 			Service: s.Name, Scale: s.Scale, Demand: demands[s.Name], Capacity: u.capacity(&s),
-			Zones: u.zones(s.Name, s.Scale.Prices),
+			Zones: u.zoneCapacity(s.Name, s.Scale.Prices),
 		})
 	}
 	return out
 }
 
-// capacity is what one engine of a service takes.
+// capacity returns what one engine of a service can serve.
 func (u *duties) capacity(s *catalog.Service) sizer.Capacity {
 	slots := 0
 	if s.Engine != nil {
@@ -278,10 +284,10 @@
 	return sizer.EngineCapacity(float64(u.g.estimator.Estimate(s.Name, time.Now()).Speed), slots)
 }
 
-// demands sums those of all daemons.
+// demands returns the demand of each service, summed over all daemons.
 func (u *duties) demands() map[identifier.Service]demandmeter.Demand {
-	out := u.g.demander.Demands()
-	for _, n := range u.g.othersDemands(time.Now()) {
+	out := u.g.demandMeter.Demands()
+	for _, n := range u.g.peerDemands(time.Now()) {
 		s := identifier.Service(n.GetService())
 		sum := out[s]
 		sum.Add(demandmeter.Demand{
@@ -292,8 +298,8 @@
 	return out
 }
 
-// zones counts a service's endpoints that are not leaving.
-func (u *duties) zones(s identifier.Service, prices map[identifier.AvailabilityZone]float64) []sizer.Zone {
+// zoneCapacity counts a service's endpoints that are not leaving, by zone and class.
+func (u *duties) zoneCapacity(s identifier.Service, prices map[identifier.AvailabilityZone]float64) []sizer.Zone {
 	counts := make(map[identifier.AvailabilityZone]*sizer.Zone, len(prices))
 	out := make([]sizer.Zone, 0, len(prices))
 	for zone := range prices {
@@ -305,7 +311,7 @@
 	for _, h := range u.g.registry.Hosts() {
 		z := counts[h.AvailabilityZone]
 		e := &h.Endpoints[0]
-		if z == nil || u.g.leaves(&h) || e.Pool != identifier.Pool(s) || !u.g.splitter.CountsTowardsSize(s, e.Version) {
+		if z == nil || u.g.isLeaving(&h) || e.Pool != identifier.Pool(s) || !u.g.splitter.CountsTowardsSize(s, e.Version) {
 			continue
 		}
 		if h.Class == document.ClassReclaimable {
@@ -317,5 +323,5 @@
 	return out
 }
 
-// errNotHeld: the lease lapsed between the decision and the call.
-var errNotHeld = errors.New("the duty is not held any more")
+// errNotHeld is returned when the lease expired between a decision and its call.
+var errNotHeld = errors.New("lease no longer held")
--- a/internal/role/gateway/engines_test.go
+++ b/internal/role/gateway/engines_test.go
@@ -17,67 +17,67 @@
 	"brasschute/platform"
 )
 
-// askedHeader names the daemon that a client asked; daemons pass it on.
+// askedHeader names the daemon that a client called; daemons pass the header on.
 const askedHeader = "Asked-Daemon"
 
 // Names of the deployment of model engines.
 const (
 	modelService = "lm"
 	modelHost    = "desk.example"
-	// streamPath is a route of streams that may not be resumed, resumePath one of streams
-	// that may be.
+	// streamPath is a route whose streams may not be resumed, resumePath one whose streams may.
 	streamPath = "/letters/"
 	resumePath = "/drafts/"
 	deskKey    = "desk-key"
 )
 
 const (
-	// engineEvents is the length of a stream, runTime the time of a run before its first event.
+	// engineEvents is the number of events in a stream, runTime the time before the first one.
 	engineEvents = 20
 	runTime      = 50 * time.Millisecond
-	// rebirthTime is when an engine is back that starts again at once.
-	rebirthTime = 100 * time.Millisecond
-	// restartTime is when another engine stands at the address of one that ended, recordTime
-	// when the record of the one that ended lapses.
-	restartTime = 5 * time.Second
-	recordTime  = 3200 * time.Millisecond
+	// restartDelay is how long an engine that restarts under the same id is down.
+	restartDelay = 100 * time.Millisecond
+	// replacementDelay is the time from an engine's exit until another engine listens at its
+	// address, recordLifetime the time until its record expires.
+	replacementDelay = 5 * time.Second
+	recordLifetime   = 3200 * time.Millisecond
 )
 
-// end is one engine's end.
-type end struct {
+// engineExit is the exit of an engine, or the arrival of a fatal request at one.
+type engineExit struct {
 	at   time.Time
 	id   string
 	body string
 }
 
-// engines are model engines of a fleet; a request may end each that runs it.
-type engines struct {
+// engineFleet holds the model engines of a test fleet, some of whose requests crash the engine
+// that runs them.
+type engineFleet struct {
 	f    *testFleet
 	host *shaper.Host
-	// sameIDs: an engine has the id of the one whose place it takes, and starts at once.
+	// sameIDs makes an engine restart at once under the id of its predecessor.
 	sameIDs bool
-	// fatal tells whether a body ends the engine that runs it.
+	// fatal reports whether a body crashes the engine that runs it.
 	fatal func(body string) bool
-	// say is what an engine says of itself in an answer; nil for nothing.
-	say func(place int, id string, r *http.Request) http.Header
-	// refuses tells whether an engine turns requests away; nil for none.
+	// answerHeaders returns the headers that an engine adds to an answer; nil adds none.
+	answerHeaders func(place int, id string, r *http.Request) http.Header
+	// refuses reports whether an engine refuses requests; nil means that none does.
 	refuses func(place int) bool
 
-	mu   sync.Mutex
-	last int
-	ends []end
+	mu      sync.Mutex
+	started int
+	exits   []engineExit
 	// sends are the arrivals of fatal requests at engines.
-	sends []end
-	// living end engines by place.
-	living map[int]func(body string)
-	stop   []func()
-	closed bool
+	sends []engineExit
+	// running holds the function that ends each engine, by place.
+	running map[int]func(body string)
+	stop    []func()
+	closed  bool
 }
 
-// startEngines starts [engineCount] engines and a configuration with routes to them.
-func (f *testFleet) startEngines(fatal func(string) bool) *engines {
+// startEngines starts [engineCount] engines and writes a configuration with routes to them.
+func (f *testFleet) startEngines(fatal func(string) bool) *engineFleet {
 	f.t.Helper()
-	e := &engines{f: f, host: f.network.Host(storeLink), fatal: fatal, living: make(map[int]func(string))}
+	e := &engineFleet{f: f, host: f.network.Host(storeLink), fatal: fatal, running: make(map[int]func(string))}
 	f.stop = append(f.stop, e.close)
 	for i := range engineCount {
 		e.start(i)
@@ -101,7 +101,7 @@
 }
 
 // start starts the next engine at the address of a place.
-func (e *engines) start(place int) {
+func (e *engineFleet) start(place int) {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 64, byte(place / 200), byte(1 + place%200)}), 8745)
 	l, err := e.host.Listen(address)
 	if err != nil {
@@ -114,8 +114,8 @@
 		l.Close()
 		return
 	}
-	e.last++
-	id := fmt.Sprintf("i-%03d", e.last)
+	e.started++
+	id := fmt.Sprintf("i-%03d", e.started)
 	if e.sameIDs {
 		id = fmt.Sprintf("i-%03d", place)
 	}
@@ -125,8 +125,8 @@
 	})
 	server := &http.Server{}
 	var once sync.Once
-	endIt := func(body string) { once.Do(func() { e.end(place, id, body, server) }) }
-	e.living[place] = endIt
+	endIt := func(body string) { once.Do(func() { e.exit(place, id, body, server) }) }
+	e.running[place] = endIt
 	engine.SetBehaviour(func(r *http.Request) hosting.Behaviour {
 		if e.refuses != nil && e.refuses(place) {
 			return hosting.Refuse
@@ -137,17 +137,17 @@
 			return hosting.Serve
 		}
 		e.mu.Lock()
-		e.sends = append(e.sends, end{time.Now(), id, body})
+		e.sends = append(e.sends, engineExit{time.Now(), id, body})
 		e.mu.Unlock()
 		time.Sleep(runTime)
 		endIt(body)
 		return hosting.CloseUnanswered
 	})
 	engine.SetHeaders(func(r *http.Request) http.Header {
-		if e.say == nil {
+		if e.answerHeaders == nil {
 			return nil
 		}
-		return e.say(place, id, r)
+		return e.answerHeaders(place, id, r)
 	})
 	server.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		text, _ := io.ReadAll(r.Body)
@@ -160,26 +160,26 @@
 	e.f.store.Write(platform.EndpointKind, id, engine.Record("ready"))
 }
 
-// end ends an engine with all that it runs. Its record lapses, and later another engine
-// stands at its address.
-func (e *engines) end(place int, id, body string, server *http.Server) {
+// exit ends an engine and everything that it runs. Its record expires, and another engine
+// starts at its address later.
+func (e *engineFleet) exit(place int, id, body string, server *http.Server) {
 	e.mu.Lock()
-	e.ends = append(e.ends, end{time.Now(), id, body})
+	e.exits = append(e.exits, engineExit{time.Now(), id, body})
 	e.mu.Unlock()
 	_ = server.Close()
 	if e.sameIDs {
-		time.AfterFunc(rebirthTime, func() { e.start(place) })
+		time.AfterFunc(restartDelay, func() { e.start(place) })
 		return
 	}
-	time.AfterFunc(recordTime, func() { e.f.store.Remove(platform.EndpointKind, id) })
-	time.AfterFunc(restartTime, func() { e.start(place) })
+	time.AfterFunc(recordLifetime, func() { e.f.store.Remove(platform.EndpointKind, id) })
+	time.AfterFunc(replacementDelay, func() { e.start(place) })
 }
 
-// endHalf ends every second engine at once.
-func (e *engines) endHalf() {
+// exitHalf ends every second engine at once.
+func (e *engineFleet) exitHalf() {
 	e.mu.Lock()
 	var list []func(string)
-	for place, endIt := range e.living {
+	for place, endIt := range e.running {
 		if place%2 == 0 {
 			list = append(list, endIt)
 		}
@@ -190,7 +190,7 @@
 	}
 }
 
-func (e *engines) close() {
+func (e *engineFleet) close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.closed = true
@@ -199,46 +199,46 @@
 	}
 }
 
-// ended lists the ends of engines under a body.
-func (e *engines) ended(body string) (out []end) {
+// exitsUnder returns the exits of engines that were caused by a body.
+func (e *engineFleet) exitsUnder(body string) (out []engineExit) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, one := range e.ends {
-		if one.body == body {
-			out = append(out, one)
+	for _, exit := range e.exits {
+		if exit.body == body {
+			out = append(out, exit)
 		}
 	}
 	return out
 }
 
-// sentAfter counts the sends of a body that come more than contactTime after the third
-// engine ended under it.
-func (e *engines) sentAfter(body string) (n int) {
-	ends := e.ended(body)
+// sentAfter counts the arrivals of a body later than propagationTime after the third engine
+// exited under it.
+func (e *engineFleet) sentAfter(body string) (n int) {
+	ends := e.exitsUnder(body)
 	if len(ends) < 3 {
 		return 0
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range e.sends {
-		if s.body == body && s.at.Sub(ends[2].at) > contactTime {
+		if s.body == body && s.at.Sub(ends[2].at) > propagationTime {
 			n++
 		}
 	}
 	return n
 }
 
-// reply is what a client got.
-type reply struct {
+// clientReply is the answer that a client received.
+type clientReply struct {
 	status int
-	// whole: the stream came to its end.
-	whole bool
-	text  string
-	after string
+	// complete is true if the whole stream arrived.
+	complete   bool
+	text       string
+	retryAfter string
 }
 
-// ask sends a body to one daemon, over a connection of its own.
-func (f *testFleet) ask(daemon int, path, body string) reply {
+// ask sends a body to one daemon over a new connection.
+func (f *testFleet) ask(daemon int, path, body string) clientReply {
 	host := f.network.Host(storeLink)
 	client := &http.Client{Transport: &http.Transport{DialContext: host.DialContext, DisableKeepAlives: true}}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
@@ -246,7 +246,7 @@
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.daemons[daemon].c.Deployment.Callers.String()+path, strings.NewReader(body))
 	if err != nil {
 		f.t.Error(err)
-		return reply{}
+		return clientReply{}
 	}
 	r.Host = modelHost
 	r.Header.Set("Request-Id", f.nextID())
@@ -254,22 +254,22 @@
 	r.Header.Set("Authorization", "Bearer "+deskKey)
 	r.Header.Set("Token-Count", "600,100")
 	r.Header.Set(askedHeader, fmt.Sprint(daemon))
-	answer, err := client.Do(r)
+	resp, err := client.Do(r)
 	if err != nil {
-		return reply{text: err.Error()}
+		return clientReply{text: err.Error()}
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(bufio.NewReader(answer.Body))
-	whole := err == nil && answer.StatusCode == http.StatusOK && strings.Contains(string(text), hosting.EventText(engineEvents))
+	defer resp.Body.Close()
+	text, err := io.ReadAll(bufio.NewReader(resp.Body))
+	complete := err == nil && resp.StatusCode == http.StatusOK && strings.Contains(string(text), hosting.EventText(engineEvents))
 	if err != nil && !errors.Is(err, io.ErrUnexpectedEOF) {
 		text = append(text, err.Error()...)
 	}
-	return reply{answer.StatusCode, whole, string(text), answer.Header.Get("Retry-After")}
+	return clientReply{resp.StatusCode, complete, string(text), resp.Header.Get("Retry-After")}
 }
 
 func (f *testFleet) nextID() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.asked++
-	return fmt.Sprintf("request-%d", f.asked)
+	f.requests++
+	return fmt.Sprintf("request-%d", f.requests)
 }
--- a/internal/role/gateway/fleet.go
+++ b/internal/role/gateway/fleet.go
@@ -16,47 +16,47 @@
 )
 
 const (
-	// sizePause is how often the size of the fleet is looked at: an address that
-	// comes is stored soon, a few that come together in one call.
-	sizePause = 2 * time.Second
-	// readTries is how often a new process tries to read what the store keeps for it,
-	// each readPause.
-	readTries = 5
-	readPause = 2 * time.Second
+	// fleetCheckInterval is how often the fleet is compared with its record: new addresses are
+	// stored soon, and several that come together are stored in one call.
+	fleetCheckInterval = 2 * time.Second
+	// maxStartReads is how many times a new process tries to read a record of the store, every
+	// startReadInterval.
+	maxStartReads     = 5
+	startReadInterval = 2 * time.Second
 )
 
-// fleetKey is the store's object with the size of the fleet and its addresses, for
-// processes that start when nobody else is left to tell.
+// fleetKey is the store's object with the size and the addresses of the fleet, for processes
+// that start when no peer is left to ask.
 const fleetKey = "fleet/size"
 
-// fleetRecord is the content of that object.
+// fleetRecord is the content of the object at fleetKey.
 type fleetRecord struct {
 	Daemons int
-	// Addresses are those at which peers are called. A process of the version before reads
-	// them; Members say besides whose they are, so that a new process finds its relays.
+	// Addresses are the peer addresses. Processes of the previous version read them. Members
+	// adds the owners, so that a new process can tell which daemons are its relays.
 	Addresses []string
 	Members   []fleetMember `json:",omitempty"`
 }
 
-// fleetMember is a daemon in that object.
+// fleetMember is one daemon in a fleetRecord.
 type fleetMember struct {
 	Host    identifier.Host
 	Zone    identifier.AvailabilityZone
 	Address string
 }
 
-// keepSize writes the fleet's size and addresses down when it has grown, or when
-// daemons have come at other addresses.
-func (u *duties) keepSize(ctx context.Context) {
+// storeFleet stores the fleet's size and addresses when the fleet has grown or has daemons at
+// new addresses.
+func (u *duties) storeFleet(ctx context.Context) {
 	now := time.Now()
-	if now.Sub(u.sized) < sizePause {
+	if now.Sub(u.fleetCheckedAt) < fleetCheckInterval {
 		return
 	}
-	u.sized = now
-	daemons := u.g.daemons()
-	addresses := append(u.g.swapper.LiveAddresses(), u.g.c.Deployment.Peers.String())
+	u.fleetCheckedAt = now
+	daemons := u.g.knownDaemons()
+	addresses := append(u.g.syncer.LiveAddresses(), u.g.c.Deployment.Peers.String())
 	slices.Sort(addresses)
-	if int64(daemons) <= u.g.storedSize.Load() && !u.unknown(addresses) {
+	if int64(daemons) <= u.g.storedFleetSize.Load() && !u.hasUnstored(addresses) {
 		return
 	}
 	version := object.Absent
@@ -64,20 +64,20 @@
 	if err == nil {
 		version = o.Version
 	} else if !errors.Is(err, object.ErrMissing) {
-		u.g.c.Logger.Warn("size of the fleet not stored", "error", err)
+		u.g.c.Logger.Warn("fleet size not stored", "error", err)
 		return
 	}
-	record := fleetRecord{Daemons: max(daemons, int(u.g.storedSize.Load())), Addresses: addresses, Members: u.members(now)}
+	record := fleetRecord{Daemons: max(daemons, int(u.g.storedFleetSize.Load())), Addresses: addresses, Members: u.liveMembers(now)}
 	if _, err := u.g.store.Put(ctx, fleetKey, version, record); err != nil {
-		u.g.c.Logger.Warn("size of the fleet not stored", "error", err)
+		u.g.c.Logger.Warn("fleet size not stored", "error", err)
 		return
 	}
-	u.g.storedSize.Store(int64(record.Daemons))
-	u.addresses = addresses
+	u.g.storedFleetSize.Store(int64(record.Daemons))
+	u.storedAddresses = addresses
 }
 
-// members are the daemons that live, this one included.
-func (u *duties) members(now time.Time) []fleetMember {
+// liveMembers returns the live daemons, this one included.
+func (u *duties) liveMembers(now time.Time) []fleetMember {
 	d := u.g.c.Deployment
 	out := []fleetMember{{d.Host, d.AvailabilityZone, d.Peers.String()}}
 	for _, o := range u.g.roster.LiveDaemons(now) {
@@ -86,35 +86,35 @@
 	return out
 }
 
-// unknown tells whether some addresses are not among those stored.
-func (u *duties) unknown(addresses []string) bool {
+// hasUnstored reports whether any of the addresses is not stored yet.
+func (u *duties) hasUnstored(addresses []string) bool {
 	for _, a := range addresses {
-		if _, found := slices.BinarySearch(u.addresses, a); !found {
+		if _, found := slices.BinarySearch(u.storedAddresses, a); !found {
 			return true
 		}
 	}
 	return false
 }
 
-// readAtStart is a service that reads something once that is in the store for
-// processes that start when no peer can tell. It tries again for a while: a store that
-// is away for a moment is no reason to take a fleet of sixty for one of four.
-func (g *Gateway) readAtStart(what string, read func(context.Context) error) service {
+// readOnStart returns a service that calls read once, to load a record that the store keeps for
+// processes that start when no peer can be asked. It retries for a while: a store that is
+// briefly unavailable must not make a fleet of sixty look like one of four.
+func (g *Gateway) readOnStart(name string, read func(context.Context) error) serviceFunc {
 	return func(ctx context.Context) error {
-		for n := 0; n < readTries && ctx.Err() == nil; n++ {
+		for attempt := 0; attempt < maxStartReads && ctx.Err() == nil; attempt++ {
 			err := read(ctx)
 			if err == nil || errors.Is(err, object.ErrMissing) {
 				break
 			}
-			g.c.Logger.Warn(what+" not read", "error", err)
-			waiter.For(ctx, readPause)
+			g.c.Logger.Warn(name+" not read", "error", err)
+			waiter.For(ctx, startReadInterval)
 		}
 		return suture.ErrDoNotRestart
 	}
 }
 
-// readSize takes over the fleet's size and addresses.
-func (g *Gateway) readSize(ctx context.Context) error {
+// readFleet loads the fleet's size and addresses from the store.
+func (g *Gateway) readFleet(ctx context.Context) error {
 	o, err := g.store.Get(ctx, fleetKey)
 	if err != nil {
 		return err
@@ -123,8 +123,8 @@
 	if err := json.Unmarshal(o.Value, &r); err != nil {
 		return fmt.Errorf("gateway: %s: %w", fleetKey, err)
 	}
-	g.toldSize.Store(max(g.toldSize.Load(), int64(r.Daemons)))
-	g.storedSize.Store(int64(r.Daemons))
+	g.reportedFleetSize.Store(max(g.reportedFleetSize.Load(), int64(r.Daemons)))
+	g.storedFleetSize.Store(int64(r.Daemons))
 	for _, m := range r.Members {
 		g.roster.AddNamed(m.Host, m.Zone, m.Address)
 	}
--- a/internal/role/gateway/following.go
+++ b/internal/role/gateway/following.go
@@ -9,56 +9,57 @@
 	"brasschute/platform"
 )
 
-// In a fleet of up to smallFleet daemons all pairs swap and all follow the store, as
-// the loss of some would otherwise leave few that do.
-const smallFleet = 16
+// smallFleetSize is the largest fleet in which all pairs exchange digests and all daemons watch
+// the store. Losing a few daemons of a small fleet would otherwise leave too few watchers.
+const smallFleetSize = 16
 
-// follows tells whether this daemon follows the store itself. In a large fleet a few
-// relays do, and tell the others.
-func (g *Gateway) follows() bool {
-	return !g.large() || g.roster.FollowsStore(time.Now())
+// watchesStore reports whether this daemon watches the store itself. In a large fleet a few
+// relays do and inform the others.
+func (g *Gateway) watchesStore() bool {
+	return !g.isLarge() || g.roster.FollowsStore(time.Now())
 }
 
-// observing tells whether this daemon follows the store, and reaches it.
-func (g *Gateway) observing() bool {
-	return g.follows() && time.Since(time.Unix(0, g.storeHeard.Load())) < roster.LivenessTimeout
+// reachesStore reports whether this daemon watches the store and has reached it recently.
+func (g *Gateway) reachesStore() bool {
+	return g.watchesStore() && time.Since(time.Unix(0, g.storeAnsweredAt.Load())) < roster.LivenessTimeout
 }
 
-type sink func([]object.Object)
+// sinkFunc adapts a function to a sink of objects.
+type sinkFunc func([]object.Object)
 
-// Apply takes in objects.
-func (s sink) Apply(objects []object.Object) { s(objects) }
+// Apply calls s with the objects.
+func (s sinkFunc) Apply(objects []object.Object) { s(objects) }
 
-// follow watches one kind of objects. A dependency that is lost or regained is
-// logged once.
-func (g *Gateway) follow(what, kind string, wait time.Duration) *watcher.Watcher {
-	var lost time.Time
+// newStoreWatcher returns a watcher of one kind of object. It logs each loss and each recovery
+// of the store once.
+func (g *Gateway) newStoreWatcher(name, kind string, wait time.Duration) *watcher.Watcher {
+	var lostAt time.Time
 	return watcher.New(watcher.Config{
-		Platform: g.store, Sink: sink(g.take), Prefixes: []string{kind}, Idle: func() bool { return !g.follows() },
+		Platform: g.store, Sink: sinkFunc(g.applyFromStore), Prefixes: []string{kind}, Idle: func() bool { return !g.watchesStore() },
 		Known: func() map[string]uint64 { return g.mirror.KnownVersions(kind) },
 		OnList: func(l watcher.List) {
 			g.mirror.BeginList(kind, l.Revision, l.Gap, l.Uncertain)
 			if l.Uncertain {
-				// The mirror's revision stays what it was before the list.
-				go g.ask(kind, g.mirror.Revision(kind))
+				// The mirror's revision is still the one from before the list.
+				go g.askForChanges(kind, g.mirror.Revision(kind))
 			}
 		},
-		Wait: wait, OnUnreadable: g.unreadable,
+		Wait: wait, OnUnreadable: g.logUnreadable,
 		OnResult: func(err error) {
 			if err == nil {
-				g.storeHeard.Store(time.Now().UnixNano())
+				g.storeAnsweredAt.Store(time.Now().UnixNano())
 			}
 			if err == nil && kind == platform.RolloutKind {
-				// Nothing is applied of a list that is empty.
+				// An empty list applies no objects, so record that the orders are known.
 				g.splitter.ApplyOrders(nil, sourceStore)
 			}
 			switch {
-			case err != nil && lost.IsZero():
-				lost = time.Now()
-				g.c.Logger.Warn("store lost", "follower", what, "error", err)
-			case err == nil && !lost.IsZero():
-				g.c.Logger.Info("store regained", "follower", what, "lost_ms", time.Since(lost).Milliseconds())
-				lost = time.Time{}
+			case err != nil && lostAt.IsZero():
+				lostAt = time.Now()
+				g.c.Logger.Warn("store unreachable", "follower", name, "error", err)
+			case err == nil && !lostAt.IsZero():
+				g.c.Logger.Info("store reachable again", "follower", name, "lost_ms", time.Since(lostAt).Milliseconds())
+				lostAt = time.Time{}
 			}
 		},
 	})
--- a/internal/role/gateway/limits.go
+++ b/internal/role/gateway/limits.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// limitLinesPerSecond bounds the lines about limits: an endpoint may name another one in
-	// each answer. A counter counts the others.
-	limitLinesPerSecond = 10
-	// steadyPart is by how much a limit may change before peers are told at once; others
-	// hear of it with the next digest.
-	steadyPart = 0.1
+	// maxEndpointLogsPerSecond limits the log lines about endpoints' rate limits: an endpoint may
+	// name another limit in each answer. Counters count all of them.
+	maxEndpointLogsPerSecond = 10
+	// urgentLimitDrop is the relative decrease of a limit from which peers are notified at once.
+	// They learn of other changes from the next digest.
+	urgentLimitDrop = 0.1
 )
 
 func (g *Gateway) buildPacer() {
-	g.limitLines = rate.NewLimiter(limitLinesPerSecond, limitLinesPerSecond)
-	g.pacer = pacer.New(pacer.Config{Host: g.c.Deployment.Host, Fleet: g.senders, Now: g.clock.Now, OnChange: g.limitChanged})
+	g.endpointLogs = rate.NewLimiter(maxEndpointLogsPerSecond, maxEndpointLogsPerSecond)
+	g.pacer = pacer.New(pacer.Config{Host: g.c.Deployment.Host, Fleet: g.pacingFleet, Now: g.clock.Now, OnChange: g.onLimitChange})
 }
 
-// senders is the part of the fleet that this daemon hears.
-func (g *Gateway) senders() pacer.Fleet {
+// pacingFleet returns the live daemons that share endpoints' limits with this one.
+func (g *Gateway) pacingFleet() pacer.Fleet {
 	f := pacer.Fleet{Size: g.fleetSize(), Stopping: g.stopping.Load()}
 	for _, d := range g.roster.LiveDaemons(time.Now()) {
 		if !d.Stopping {
@@ -38,23 +38,25 @@
 	return f
 }
 
-// ObserveReply takes in what an endpoint says of itself in the head of an answer.
+// ObserveReply applies what an endpoint says about itself in the headers of an answer: that it is
+// leaving, or its rate limit. sent is when the request was sent.
 func (g *Gateway) ObserveReply(q *request.Request, pick *registry.Pick, reply *request.Reply, sent time.Time) {
 	if reply.EndpointLeaving {
-		g.departs(q, pick)
+		g.markDeparting(q, pick)
 	}
 	if reply.Limit.Invalid {
 		g.scope.Counter("endpoint_words_unreadable").Inc(1)
-		if g.limitLines.Allow() {
-			g.c.Logger.Warn("endpoint names a limit that can't be read", "request", q.ID, "endpoint", pick.Endpoint, "born", pick.Born)
+		if g.endpointLogs.Allow() {
+			g.c.Logger.Warn("endpoint sent an unparsable limit", "request", q.ID, "endpoint", pick.Endpoint, "born", pick.Born)
 		}
 		return
 	}
 	g.pacer.ObserveResponse(pick.EndpointIncarnation(), pacer.RateLimit{PerSecond: reply.Limit.PerSecond, Limited: reply.Limit.Present}, sent)
 }
 
-// limitChanged writes down that an endpoint takes more or less than before, and tells peers.
-func (g *Gateway) limitChanged(c pacer.Change) {
+// onLimitChange counts and logs a change of an endpoint's limit, and notifies peers of a new
+// or ended limit or a large decrease.
+func (g *Gateway) onLimitChange(c pacer.Change) {
 	state := "changed"
 	switch {
 	case !c.Limited:
@@ -64,18 +66,18 @@
 	}
 	g.scope.Tagged(map[string]string{"state": state}).Counter("endpoint_limits").Inc(1)
 	g.scope.Gauge("endpoints_limited").Update(float64(len(g.pacer.Limits())))
-	if g.limitLines.Allow() {
+	if g.endpointLogs.Allow() {
 		g.c.Logger.Info("endpoint's limit "+state, "endpoint", c.Endpoint, "born", c.Born, "per_second", c.PerSecond, "before", c.Previous.PerSecond,
-			"own_answer", c.Local, "age_ms", g.clock.Now().Sub(c.At).Milliseconds(), "own_share", c.Rate, "daemons", g.daemons())
+			"own_answer", c.Local, "age_ms", g.clock.Now().Sub(c.At).Milliseconds(), "own_share", c.Rate, "daemons", g.knownDaemons())
 	}
-	if c.Limited && c.Previous.Limited && c.PerSecond > (1-steadyPart)*c.Previous.PerSecond {
+	if c.Limited && c.Previous.Limited && c.PerSecond > (1-urgentLimitDrop)*c.Previous.PerSecond {
 		return
 	}
-	g.swapper.TriggerNotes(c.Local || g.large() && g.relaying())
+	g.syncer.TriggerNotes(c.Local || g.isLarge() && g.isRelay())
 }
 
-// limits is what this daemon tells others of endpoints' limits.
-func (g *Gateway) limits() []*rpc.EndpointLimit {
+// encodeLimits returns the endpoints' limits known to this daemon, for peers.
+func (g *Gateway) encodeLimits() []*rpc.EndpointLimit {
 	list := g.pacer.Updates()
 	out := make([]*rpc.EndpointLimit, len(list))
 	for i, l := range list {
@@ -86,8 +88,8 @@
 	return out
 }
 
-// limitsTold is what a peer tells of endpoints' limits. What is no number is left out.
-func limitsTold(list []*rpc.EndpointLimit) []pacer.Limit {
+// decodeLimits decodes the limits of a peer's digest. It drops negative limits and NaN.
+func decodeLimits(list []*rpc.EndpointLimit) []pacer.Limit {
 	out := make([]pacer.Limit, 0, len(list))
 	for _, l := range list {
 		if !(l.GetPerSecond() >= 0) {
@@ -95,14 +97,14 @@
 		}
 		out = append(out, pacer.Limit{
 			Incarnation: pacer.Incarnation{Endpoint: identifier.Endpoint(l.GetEndpoint()), Born: identifier.StartTime(l.GetBorn())},
-			RateLimit: pacer.RateLimit{PerSecond: l.GetPerSecond(), Limited: l.GetLimited()},
-			At:   time.UnixMilli(l.GetUnixMilli()),
+			RateLimit:   pacer.RateLimit{PerSecond: l.GetPerSecond(), Limited: l.GetLimited()},
+			At:          time.UnixMilli(l.GetUnixMilli()),
 		})
 	}
 	return out
 }
 
-// pruneLimits forgets the limits of endpoints that are not listed any more.
+// pruneLimits drops the limits of endpoints that are no longer listed.
 func (g *Gateway) pruneLimits(hosts []inventory.Host) {
 	listed := make(map[pacer.Incarnation]bool, len(hosts))
 	for _, h := range hosts {
--- a/internal/role/gateway/limits_test.go
+++ b/internal/role/gateway/limits_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// What an engine with a limit may get: in each limitWindow limitFactor times what its limit
-// allows and limitSlack more, of daemons that it had told limitLead before.
+// In each limitWindow an engine with a limit may get limitFactor times the requests that its
+// limit allows, and limitSlack more, from daemons that it informed at least limitLead before.
 const (
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
@@ -19,130 +19,133 @@
 	limitLead   = 500 * time.Millisecond
 )
 
-// limiters are engines that name limits, with what reaches them.
-type limiters struct {
+// limitedEngines are engines that send limits, with the requests that reach them.
+type limitedEngines struct {
 	f *testFleet
-	// limit is what an engine takes a second, 0 for one that names none.
+	// limit returns an engine's limit in requests per second, 0 for none.
 	limit func(place int, since time.Duration) float64
 
 	mu    sync.Mutex
 	begun time.Time
-	// named is when an engine first named its limit, told when it told each daemon.
-	named map[string]time.Time
-	told  map[string]map[string]time.Time
-	// arrivals are requests by engine; those of daemons that it had told before count.
-	arrivals map[string][]time.Time
-	counted  map[string][]time.Time
+	// limitNamedAt is when an engine first sent its limit, limitToldAt when it first sent it to
+	// each daemon.
+	limitNamedAt map[string]time.Time
+	limitToldAt  map[string]map[string]time.Time
+	// arrivals are the requests by engine. countedArrivals are those from daemons that the engine
+	// had informed limitLead before.
+	arrivals        map[string][]time.Time
+	countedArrivals map[string][]time.Time
 }
 
-// inLimitFleet runs a check among daemons before engines of which some name limits.
-func inLimitFleet(t *testing.T, daemons int, limit func(place int, since time.Duration) float64, check func(f *testFleet, l *limiters)) {
+// inLimitFleet runs a check among daemons in front of engines of which some send limits.
+func inLimitFleet(t *testing.T, daemons int, limit func(place int, since time.Duration) float64, check func(f *testFleet, l *limitedEngines)) {
 	t.Helper()
-	inEngineFleet(t, daemons, func(string) bool { return false }, func(f *testFleet, e *engines) {
-		l := &limiters{
-			f: f, limit: limit, begun: time.Now(), named: make(map[string]time.Time), told: make(map[string]map[string]time.Time),
-			arrivals: make(map[string][]time.Time), counted: make(map[string][]time.Time),
+	inEngineFleet(t, daemons, func(string) bool { return false }, func(f *testFleet, e *engineFleet) {
+		l := &limitedEngines{
+			f: f, limit: limit, begun: time.Now(), limitNamedAt: make(map[string]time.Time), limitToldAt: make(map[string]map[string]time.Time),
+			arrivals: make(map[string][]time.Time), countedArrivals: make(map[string][]time.Time),
 		}
-		e.say = l.say
+		e.answerHeaders = l.answerHeaders
 		check(f, l)
 	})
 }
 
-// say notes an arrival, and names the limit.
-func (l *limiters) say(place int, id string, r *http.Request) http.Header {
+// answerHeaders records an arrival and returns the header with the limit.
+func (l *limitedEngines) answerHeaders(place int, id string, r *http.Request) http.Header {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now, daemon := time.Now(), r.Header.Get(askedHeader)
 	l.arrivals[id] = append(l.arrivals[id], now)
-	if at, told := l.told[id][daemon]; told && now.Sub(at) >= limitLead {
-		l.counted[id] = append(l.counted[id], now)
+	if at, informed := l.limitToldAt[id][daemon]; informed && now.Sub(at) >= limitLead {
+		l.countedArrivals[id] = append(l.countedArrivals[id], now)
 	}
 	limit := l.limit(place, now.Sub(l.begun))
 	if limit == 0 {
 		return nil
 	}
-	if l.named[id].IsZero() {
-		l.named[id], l.told[id] = now, make(map[string]time.Time)
+	if l.limitNamedAt[id].IsZero() {
+		l.limitNamedAt[id], l.limitToldAt[id] = now, make(map[string]time.Time)
 	}
-	if l.told[id][daemon].IsZero() {
-		l.told[id][daemon] = now
+	if l.limitToldAt[id][daemon].IsZero() {
+		l.limitToldAt[id][daemon] = now
 	}
 	return http.Header{"Server-Limit": {strconv.FormatFloat(limit, 'f', -1, 64)}}
 }
 
-// most is the highest number of requests in a window that starts contactTime after an engine
-// first named its limit, or later.
-func (l *limiters) most(id string) (most int) {
+// busiestWindow returns the largest number of requests in a window that starts propagationTime
+// after an engine first sent its limit, or later.
+func (l *limitedEngines) busiestWindow(id string) (highest int) {
 	first := 0
-	list := l.counted[id]
+	list := l.countedArrivals[id]
 	for i, at := range list {
-		for first < i && at.Sub(list[first]) >= limitWindow || list[first].Sub(l.named[id]) < contactTime && first < i {
+		for first < i && at.Sub(list[first]) >= limitWindow || list[first].Sub(l.limitNamedAt[id]) < propagationTime && first < i {
 			first++
 		}
-		if list[first].Sub(l.named[id]) >= contactTime {
-			most = max(most, i-first+1)
+		if list[first].Sub(l.limitNamedAt[id]) >= propagationTime {
+			highest = max(highest, i-first+1)
 		}
 	}
-	return most
+	return highest
 }
 
-// load sends requests to all daemons for a time, so many a second, and returns what came back.
-func (f *testFleet) load(perSecond float64, d time.Duration) []reply {
-	out, _ := f.flow(d, time.Duration(float64(time.Second)/perSecond), time.Hour)
+// sendSteady sends requests to random daemons at a constant rate for a time and returns the
+// replies.
+func (f *testFleet) sendSteady(perSecond float64, d time.Duration) []clientReply {
+	out, _ := f.sendMixed(d, time.Duration(float64(time.Second)/perSecond), time.Hour)
 	return out
 }
 
-// check compares what each engine got with its limit.
-func (l *limiters) check(limit float64) {
+// check compares the requests that each engine got with its limit.
+func (l *limitedEngines) check(limit float64) {
 	l.f.t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	allowed := limitFactor*limit*limitWindow.Seconds() + limitSlack
-	if len(l.named) == 0 {
-		l.f.t.Error("no engine named a limit")
+	if len(l.limitNamedAt) == 0 {
+		l.f.t.Error("no engine sent a limit")
 	}
-	for id := range l.named {
-		if most := l.most(id); float64(most) > allowed {
-			l.f.t.Errorf("%s takes %v a second and got %d requests in %v from daemons that it had told; allowed %.0f", id, limit, most, limitWindow, allowed)
+	for id := range l.limitNamedAt {
+		if most := l.busiestWindow(id); float64(most) > allowed {
+			l.f.t.Errorf("%s has a limit of %v requests a second and got %d in %v from informed daemons; allowed %.0f", id, limit, most, limitWindow, allowed)
 		}
 	}
 }
 
-// used is how much of its limit an engine got in the mean of the last seconds.
-func (l *limiters) used(limit float64, last time.Duration) (mean float64) {
+// limitUsage returns the mean fraction of their limits that the engines got in the last seconds.
+func (l *limitedEngines) limitUsage(limit float64, last time.Duration) (mean float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	from := time.Now().Add(-last)
-	for id := range l.named {
+	for id := range l.limitNamedAt {
 		n := 0
 		for _, at := range l.arrivals[id] {
 			if at.After(from) {
 				n++
 			}
 		}
-		mean += float64(n) / last.Seconds() / limit / float64(len(l.named))
+		mean += float64(n) / last.Seconds() / limit / float64(len(l.limitNamedAt))
 	}
 	return mean
 }
 
-// limitFleets are sizes of fleets with the requests a second that their clients send.
+// limitFleets are fleet sizes with the clients' requests per second.
 var limitFleets = []struct {
 	daemons   int
 	perSecond float64
 }{{8, 45}, {83, 160}, {195, 300}}
 
-// inLimitFleets runs a test at the smallest sizes, so many of them.
-func inLimitFleets(t *testing.T, sizes int, limit func(int, time.Duration) float64, check func(f *testFleet, l *limiters, perSecond float64)) {
+// inLimitFleets runs a test at the first sizes of limitFleets.
+func inLimitFleets(t *testing.T, sizes int, limit func(int, time.Duration) float64, check func(f *testFleet, l *limitedEngines, perSecond float64)) {
 	t.Helper()
 	for _, size := range limitFleets[:sizes] {
 		t.Run(fmt.Sprint(size.daemons, " daemons"), func(t *testing.T) {
-			inLimitFleet(t, size.daemons, limit, func(f *testFleet, l *limiters) { check(f, l, size.perSecond) })
+			inLimitFleet(t, size.daemons, limit, func(f *testFleet, l *limitedEngines) { check(f, l, size.perSecond) })
 		})
 	}
 }
 
-// The limit that an engine names in its answers is forgotten with each answer, so each daemon
-// goes on sending as before.
+// An engine sends its limit in its answers. If the limit is forgotten with each answer, every
+// daemon goes on sending as before.
 func TestLimitOfAnEngineHoldsForAllDaemonsTogether(t *testing.T) {
 	const limit = 1
 	two := func(place int, since time.Duration) float64 {
@@ -151,18 +154,18 @@
 		}
 		return 0
 	}
-	inLimitFleets(t, len(limitFleets), two, func(f *testFleet, l *limiters, perSecond float64) {
-		replies := f.load(perSecond, 15*time.Second)
+	inLimitFleets(t, len(limitFleets), two, func(f *testFleet, l *limitedEngines, perSecond float64) {
+		replies := f.sendSteady(perSecond, 15*time.Second)
 		l.check(limit)
-		f.t.Logf("%.2f of the limit used", l.used(limit, 8*time.Second))
-		if n := failed(replies); n > 0 {
+		f.t.Logf("%.2f of the limit used", l.limitUsage(limit, 8*time.Second))
+		if n := countFailed(replies); n > 0 {
 			f.t.Errorf("%d of %d requests failed, though ten engines have no limit", n, len(replies))
 		}
 	})
 }
 
-// All engines of a service name limits: what can't be served is refused at once, and what the
-// engines take is used.
+// All engines of a service send limits: requests that cannot be served must be refused at once,
+// and the engines' limits must be used.
 func TestAllEnginesOfAServiceHaveLimits(t *testing.T) {
 	const limit = 1.5
 	all := func(_ int, since time.Duration) float64 {
@@ -171,16 +174,16 @@
 		}
 		return 0
 	}
-	inLimitFleets(t, 2, all, func(f *testFleet, l *limiters, perSecond float64) {
-		replies := f.load(perSecond, 15*time.Second)
+	inLimitFleets(t, 2, all, func(f *testFleet, l *limitedEngines, perSecond float64) {
+		replies := f.sendSteady(perSecond, 15*time.Second)
 		l.check(limit)
-		used := l.used(limit, 8*time.Second)
-		f.t.Logf("%.2f of the limit used, %d of %d requests failed", used, failed(replies), len(replies))
+		used := l.limitUsage(limit, 8*time.Second)
+		f.t.Logf("%.2f of the limit used, %d of %d requests failed", used, countFailed(replies), len(replies))
 		if used < 0.6 {
 			f.t.Errorf("%.2f of the limit is used", used)
 		}
 		for _, r := range replies {
-			if !r.whole && (r.status != http.StatusServiceUnavailable || r.after == "") {
+			if !r.complete && (r.status != http.StatusServiceUnavailable || r.retryAfter == "") {
 				f.t.Errorf("refused by %+v", r)
 				break
 			}
@@ -188,7 +191,7 @@
 	})
 }
 
-// A limit ends: the engine gets its part of the requests again, from all daemons.
+// A limit ends: the engine must get its share of the requests again, from all daemons.
 func TestLimitThatEndsIsForgotten(t *testing.T) {
 	const limit, ends = 1, 8 * time.Second
 	until := func(place int, since time.Duration) float64 {
@@ -197,13 +200,13 @@
 		}
 		return 0
 	}
-	inLimitFleets(t, 2, until, func(f *testFleet, l *limiters, perSecond float64) {
-		f.load(perSecond, ends+4*time.Second)
-		f.load(perSecond, 6*time.Second)
-		part := l.used(perSecond/engineCount, 6*time.Second)
-		f.t.Logf("%.2f of an engine's part", part)
+	inLimitFleets(t, 2, until, func(f *testFleet, l *limitedEngines, perSecond float64) {
+		f.sendSteady(perSecond, ends+4*time.Second)
+		f.sendSteady(perSecond, 6*time.Second)
+		part := l.limitUsage(perSecond/engineCount, 6*time.Second)
+		f.t.Logf("%.2f of an engine's share", part)
 		if part < 0.5 {
-			f.t.Errorf("the engine gets %.2f of its part of the requests", part)
+			f.t.Errorf("the engine gets %.2f of its share of the requests", part)
 		}
 		for _, g := range f.daemons {
 			if list := g.pacer.Limits(); len(list) > 0 {
@@ -213,8 +216,7 @@
 	})
 }
 
-// A daemon is cut off and comes back, one is lost, and one starts anew, while two engines have
-// limits.
+// A daemon is isolated and comes back, and another one starts, while two engines have limits.
 func TestLimitHoldsThroughCutsAndStarts(t *testing.T) {
 	const limit = 1
 	two := func(place int, _ time.Duration) float64 {
@@ -223,29 +225,29 @@
 		}
 		return 0
 	}
-	inLimitFleet(t, 8, two, func(f *testFleet, l *limiters) {
-		f.load(45, 4*time.Second)
-		f.networks[3].cut.Store(true)
-		f.load(45, 5*time.Second)
-		f.networks[3].cut.Store(false)
+	inLimitFleet(t, 8, two, func(f *testFleet, l *limitedEngines) {
+		f.sendSteady(45, 4*time.Second)
+		f.networks[3].isolated.Store(true)
+		f.sendSteady(45, 5*time.Second)
+		f.networks[3].isolated.Store(false)
 		f.start(1)
-		f.load(45, 10*time.Second)
+		f.sendSteady(45, 10*time.Second)
 		l.check(limit)
 	})
 }
 
-// Engines name what is no limit: it counts for nothing, and harms nobody.
+// Engines send values that are not limits. They must be ignored and harm nobody.
 func TestWordsThatAreNoLimits(t *testing.T) {
-	words := []string{"NaN", "-1", "Inf", "-Inf", "", "soon", "1e999", "0x", "Wed, 21 Oct 2026 07:28:00 GMT"}
-	inEngineFleet(t, 8, func(string) bool { return false }, func(f *testFleet, e *engines) {
-		e.say = func(place int, _ string, _ *http.Request) http.Header {
+	values := []string{"NaN", "-1", "Inf", "-Inf", "", "soon", "1e999", "0x", "Wed, 21 Oct 2026 07:28:00 GMT"}
+	inEngineFleet(t, 8, func(string) bool { return false }, func(f *testFleet, e *engineFleet) {
+		e.answerHeaders = func(place int, _ string, _ *http.Request) http.Header {
 			if place == 0 {
 				return http.Header{"Server-Limit": {"1", "2"}}
 			}
-			return http.Header{"Server-Limit": {words[place%len(words)]}}
+			return http.Header{"Server-Limit": {values[place%len(values)]}}
 		}
-		replies := f.load(45, 5*time.Second)
-		if n := failed(replies); n > 0 {
+		replies := f.sendSteady(45, 5*time.Second)
+		if n := countFailed(replies); n > 0 {
 			t.Errorf("%d of %d requests failed", n, len(replies))
 		}
 		if i := slices.IndexFunc(f.daemons, func(g *Gateway) bool { return g.pacer.HasLimits() }); i >= 0 {
--- a/internal/role/gateway/load_test.go
+++ b/internal/role/gateway/load_test.go
@@ -20,40 +20,41 @@
 	"brasschute/platform"
 )
 
-// kind is one kind of model request: a prompt of parts that its subject shares with others and
-// a part of its own.
-type kind struct {
-	name        string
-	shared, own int
-	output      int
-	objective   time.Duration
-	// part is its part of all requests; rank 0 is the most urgent.
-	part float64
-	rank int
+// requestClass is one class of model requests. Its prompt has parts that requests with the same
+// subject share, and a part of its own.
+type requestClass struct {
+	name                    string
+	sharedTokens, ownTokens int
+	outputTokens            int
+	objective               time.Duration
+	// share is the class's fraction of all requests. Priority 0 is the most urgent.
+	share    float64
+	priority int
 }
 
-var kinds = []kind{
+var requestClasses = []requestClass{
 	{"review", 13_300, 3_720, 120, time.Second, 0.5, 0},
 	{"letter", 6_300, 2_890, 50, time.Second, 0.24, 1},
 	{"query", 350, 1_110, 170, 800 * time.Millisecond, 0.26, 2},
 }
 
 const (
-	// subjects is how many subjects share parts of prompts, for each kind.
-	subjects = 12
-	// eventTokens is what an event of a stream holds.
-	eventTokens = 3
-	// waitObjectives is how many objectives a client waits for a first event.
-	waitObjectives = 4
-	// refusalPart of an objective is how soon a request that is not sent must be refused.
-	refusalPart = 0.125
+	// subjects is the number of subjects whose requests share prompt parts, for each class.
+	subjects       = 12
+	tokensPerEvent = 3
+	// clientPatience is how long a client waits for the next event, in multiples of the
+	// objective.
+	clientPatience = 4
+	// maxRefusalFraction is the fraction of the objective within which a request that is not
+	// sent to an engine must be refused.
+	maxRefusalFraction = 0.125
 )
 
-// smallEngine works on twelve requests at once.
+// smallEngine runs up to twelve requests at once.
 var smallEngine = batcher.Config{Slots: 12, MaxWaiting: 25, MemoryTokens: 500_836, PrefillTokensPerSecond: 56_100, StepTime: 6450 * time.Microsecond}
 
-// models are the model engines of a fleet, and what became of its requests.
-type models struct {
+// batchFleet holds batching model engines and the outcomes of the requests sent to their fleet.
+type batchFleet struct {
 	f       *testFleet
 	host    *shaper.Host
 	client  *http.Client
@@ -61,34 +62,35 @@
 	engines []*hosting.Engine
 	servers []*http.Server
 
-	mu     sync.Mutex
-	served []outcome
-	group  sync.WaitGroup
-	asked  int
+	mu       sync.Mutex
+	outcomes []outcome
+	group    sync.WaitGroup
+	requests int
 }
 
-// outcome is what became of one request, its second try included.
+// outcome is the outcome of one request, including its second attempt.
 type outcome struct {
-	kind *kind
-	// at is when it was first sent, first when its first event came, since then; 0 for never.
-	at    time.Time
-	first time.Duration
-	whole bool
-	// refusals are how long each refusal took, and statuses what the tries ended with.
+	class *requestClass
+	// sentAt is when the request was first sent. firstEvent is the time from then to the first
+	// event, 0 if none came.
+	sentAt     time.Time
+	firstEvent time.Duration
+	complete   bool
+	// refusals are the times that refusals took, statuses the results of the attempts.
 	refusals []time.Duration
 	statuses []int
 }
 
-func (o *outcome) inTime() bool { return o.whole && o.first <= o.kind.objective }
+func (o *outcome) inTime() bool { return o.complete && o.firstEvent <= o.class.objective }
 
-// inModelFleet runs a check among daemons before engines that batch.
-func inModelFleet(t *testing.T, daemons, engines int, check func(m *models)) {
+// inBatchFleet runs a check among daemons in front of engines that batch requests.
+func inBatchFleet(t *testing.T, daemons, engines int, check func(m *batchFleet)) {
 	t.Helper()
-	inBubble(t, func(t *testing.T) {
+	inPausedTime(t, func(t *testing.T) {
 		f := newTestFleet(t)
 		defer f.end()
-		f.rate = wide
-		m := &models{f: f, host: f.network.Host(storeLink), random: rand.New(rand.NewPCG(3, 4))}
+		f.rate = wideLink
+		m := &batchFleet{f: f, host: f.network.Host(storeLink), random: rand.New(rand.NewPCG(3, 4))}
 		clients := f.network.Host(storeLink)
 		m.client = &http.Client{Transport: &http.Transport{DialContext: clients.DialContext, DisableKeepAlives: true}}
 		f.stop = append(f.stop, m.close)
@@ -102,7 +104,7 @@
 	})
 }
 
-func (m *models) start(i int) {
+func (m *batchFleet) start(i int) {
 	address := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 64, 0, byte(1 + i)}), 8745)
 	l, err := m.host.Listen(address)
 	if err != nil {
@@ -111,7 +113,7 @@
 	config := smallEngine
 	e := hosting.NewEngine(hosting.Config{
 		ID: fmt.Sprintf("i-%d", i), Service: modelService, Zone: fmt.Sprintf("zone-%d", i%m.f.zones), Address: address.String(),
-		Batch: &config, TokensPerEvent: eventTokens, StreamLength: 1,
+		Batch: &config, TokensPerEvent: tokensPerEvent, StreamLength: 1,
 	})
 	server := &http.Server{Handler: e}
 	go func() { _ = server.Serve(l) }()
@@ -119,18 +121,18 @@
 	m.f.store.Write(platform.EndpointKind, fmt.Sprintf("i-%d", i), e.Record("ready"))
 }
 
-func (m *models) close() {
+func (m *batchFleet) close() {
 	for _, s := range m.servers {
 		_ = s.Close()
 	}
 }
 
-func (m *models) configure() {
+func (m *batchFleet) configure() {
 	var routes []any
-	for _, k := range kinds {
+	for _, k := range requestClasses {
 		routes = append(routes, map[string]any{
 			"Name": k.name, "Host": modelHost, "PathPrefix": "/" + k.name + "/", "Kind": "streaming", "Service": modelService,
-			"TimeoutMs": 12000, "SloMs": k.objective.Milliseconds(), "GapSloMs": 500, "MaxAttempts": 2, "Priority": k.rank, "SessionAffinity": true,
+			"TimeoutMs": 12000, "SloMs": k.objective.Milliseconds(), "GapSloMs": 500, "MaxAttempts": 2, "Priority": k.priority, "SessionAffinity": true,
 		})
 	}
 	m.f.number++
@@ -144,8 +146,8 @@
 	})
 }
 
-// load sends so many requests a second for a time, at random daemons.
-func (m *models) load(perSecond float64, d time.Duration) {
+// load sends requests to random daemons at a rate for a time.
+func (m *batchFleet) load(perSecond float64, d time.Duration) {
 	const step = 5 * time.Millisecond
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(step) {
 		for n := perSecond * step.Seconds(); n > m.random.Float64(); n-- {
@@ -154,22 +156,22 @@
 	}
 }
 
-// send sends a request of a random kind, once more if it is refused.
-func (m *models) send() {
-	draw, k := m.random.Float64(), &kinds[len(kinds)-1]
-	for i := range kinds {
-		if draw -= kinds[i].part; draw < 0 {
-			k = &kinds[i]
+// send sends a request of a random class, and once more if it is refused.
+func (m *batchFleet) send() {
+	draw, k := m.random.Float64(), &requestClasses[len(requestClasses)-1]
+	for i := range requestClasses {
+		if draw -= requestClasses[i].share; draw < 0 {
+			k = &requestClasses[i]
 			break
 		}
 	}
-	m.asked++
-	parts := fmt.Sprintf("%s-rules:%d,%s-%d:%d,own-%d:%d", k.name, k.shared/4, k.name, m.random.IntN(subjects), k.shared*3/4, m.asked, k.own)
-	body, daemons := fmt.Sprint("request ", m.asked), [2]int{m.random.IntN(len(m.f.daemons)), m.random.IntN(len(m.f.daemons))}
+	m.requests++
+	parts := fmt.Sprintf("%s-rules:%d,%s-%d:%d,own-%d:%d", k.name, k.sharedTokens/4, k.name, m.random.IntN(subjects), k.sharedTokens*3/4, m.requests, k.ownTokens)
+	body, daemons := fmt.Sprint("request ", m.requests), [2]int{m.random.IntN(len(m.f.daemons)), m.random.IntN(len(m.f.daemons))}
 	m.group.Go(func() {
-		o := outcome{kind: k, at: time.Now()}
+		o := outcome{class: k, sentAt: time.Now()}
 		for _, daemon := range daemons {
-			pause, again := m.try(&o, daemon, parts, body)
+			pause, again := m.attempt(&o, daemon, parts, body)
 			if !again {
 				break
 			}
@@ -177,18 +179,18 @@
 		}
 		m.mu.Lock()
 		defer m.mu.Unlock()
-		m.served = append(m.served, o)
+		m.outcomes = append(m.outcomes, o)
 	})
 }
 
-// try sends a request once. It returns when to try again, if it was refused in time for that.
-func (m *models) try(o *outcome, daemon int, parts, body string) (pause time.Duration, again bool) {
+// attempt sends a request once. If it is refused, attempt returns the pause before a retry.
+func (m *batchFleet) attempt(o *outcome, daemon int, parts, body string) (pause time.Duration, again bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	silent := time.AfterFunc(waitObjectives*o.kind.objective, cancel)
+	silent := time.AfterFunc(clientPatience*o.class.objective, cancel)
 	defer silent.Stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost,
-		"http://"+m.f.daemons[daemon].c.Deployment.Callers.String()+"/"+o.kind.name+"/", strings.NewReader(body))
+		"http://"+m.f.daemons[daemon].c.Deployment.Callers.String()+"/"+o.class.name+"/", strings.NewReader(body))
 	if err != nil {
 		m.f.t.Error(err)
 		return 0, false
@@ -197,7 +199,7 @@
 	r.Header.Set("Request-Id", m.f.nextID())
 	r.Header.Set("Deadline-Ms", "12000")
 	r.Header.Set("Authorization", "Bearer "+deskKey)
-	r.Header.Set("Token-Count", fmt.Sprintf("%d,%d", o.kind.shared+o.kind.own, o.kind.output))
+	r.Header.Set("Token-Count", fmt.Sprintf("%d,%d", o.class.sharedTokens+o.class.ownTokens, o.class.outputTokens))
 	r.Header.Set("Prompt-Prefix", parts)
 	sent := time.Now()
 	resp, err := m.client.Do(r)
@@ -216,45 +218,46 @@
 	return 0, false
 }
 
-// read reads a stream; silent ends it when nothing comes.
+// read reads a stream. The timer silent aborts it when no event comes.
 func (o *outcome) read(resp *http.Response, silent *time.Timer) {
 	if resp.StatusCode != http.StatusOK {
 		return
 	}
-	last, events := hosting.EventText((o.kind.output+eventTokens-1)/eventTokens), ""
+	last, events := hosting.EventText((o.class.outputTokens+tokensPerEvent-1)/tokensPerEvent), ""
 	reader := bufio.NewReader(resp.Body)
 	for {
 		line, err := reader.ReadString('\n')
-		if o.first == 0 && line != "" {
-			o.first = time.Since(o.at)
+		if o.firstEvent == 0 && line != "" {
+			o.firstEvent = time.Since(o.sentAt)
 		}
-		silent.Reset(waitObjectives * o.kind.objective)
+		silent.Reset(clientPatience * o.class.objective)
 		events = (events + line)[max(0, len(events)+len(line)-len(last)):]
 		if err != nil {
-			o.whole = err == io.EOF && events == last
+			o.complete = err == io.EOF && events == last
 			return
 		}
 	}
 }
 
-// between returns the outcomes of the requests that were sent in a span, once all have ended.
-func (m *models) between(from, to time.Time) (out []outcome) {
+// between waits for all requests and returns the outcomes of those sent in a time span.
+func (m *batchFleet) between(from, to time.Time) (out []outcome) {
 	m.group.Wait()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, o := range m.served {
-		if !o.at.Before(from) && o.at.Before(to) {
+	for _, o := range m.outcomes {
+		if !o.sentAt.Before(from) && o.sentAt.Before(to) {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-// share is the part of some outcomes of a kind, all if nil, for which something holds.
-func share(list []outcome, k *kind, holds func(*outcome) bool) float64 {
+// fractionOf returns the fraction of the outcomes of a class (nil for all) for which holds
+// returns true.
+func fractionOf(list []outcome, k *requestClass, holds func(*outcome) bool) float64 {
 	n, all := 0, 0
 	for i := range list {
-		if k != nil && list[i].kind != k {
+		if k != nil && list[i].class != k {
 			continue
 		}
 		all++
@@ -267,33 +270,33 @@
 
 func refused(o *outcome) bool { return len(o.refusals) > 0 }
 
-// report writes a line on some outcomes.
-func (m *models) report(when string, list []outcome) {
+// logOutcomes logs a summary of some outcomes.
+func (m *batchFleet) logOutcomes(when string, list []outcome) {
 	m.f.t.Helper()
-	line := fmt.Sprintf("%s: %d requests, in time %.3f, whole %.3f, refused %.3f;", when, len(list), share(list, nil, (*outcome).inTime),
-		share(list, nil, func(o *outcome) bool { return o.whole }), share(list, nil, refused))
-	for i := range kinds {
-		line += fmt.Sprintf(" %s %.3f", kinds[i].name, share(list, &kinds[i], (*outcome).inTime))
+	line := fmt.Sprintf("%s: %d requests, in time %.3f, complete %.3f, refused %.3f;", when, len(list), fractionOf(list, nil, (*outcome).inTime),
+		fractionOf(list, nil, func(o *outcome) bool { return o.complete }), fractionOf(list, nil, refused))
+	for i := range requestClasses {
+		line += fmt.Sprintf(" %s %.3f", requestClasses[i].name, fractionOf(list, &requestClasses[i], (*outcome).inTime))
 	}
 	m.f.t.Log(line)
 }
 
 const (
-	// usualLoad is what eight engines serve with a third of their slots taken: nearly all in
-	// time if each request goes to the engine that does least.
+	// usualLoad, in requests a second, takes a third of the slots of eight engines: nearly all
+	// requests are in time if each goes to the least loaded engine.
 	usualLoad = 18.0
-	// overload times the usual one is more than the engines can read.
+	// overload times the usual load is more than the engines can prefill.
 	overload = 5
-	// recovery is the longest that a client waits for its first event, and a stream's time:
-	// nothing of the overload is left then.
+	// recovery is the longest time that a client waits for its first event plus the time of a
+	// stream, after which nothing of the overload is left.
 	recovery = 8 * time.Second
 )
 
-// Five times as many requests as usual come for four seconds, more than the engines can read.
-// What can't be served in time is refused at once and told when to come back, the less urgent
-// ones first; and once those that were taken have ended all is as it was.
-func TestLoadThatNoEngineCanServe(t *testing.T) {
-	inModelFleet(t, 20, 8, func(m *models) {
+// Five times the usual load comes for four seconds, more than the engines can prefill. Requests
+// that cannot be served in time must be refused at once with a Retry-After, the less urgent
+// ones first. Once the admitted ones have ended, everything must be as before.
+func TestOverloadIsShedByPriority(t *testing.T) {
+	inBatchFleet(t, 20, 8, func(m *batchFleet) {
 		begun := time.Now()
 		m.load(usualLoad, 12*time.Second)
 		burst := time.Now()
@@ -301,56 +304,56 @@
 		over := time.Now()
 		m.load(usualLoad, recovery+6*time.Second)
 		calm, during, after := m.between(begun.Add(4*time.Second), burst), m.between(burst, over), m.between(over.Add(recovery), time.Now())
-		m.report("calm", calm)
-		m.report("burst", during)
-		m.report("after", after)
-		if got := share(calm, nil, (*outcome).inTime); got < 0.95 {
+		m.logOutcomes("calm", calm)
+		m.logOutcomes("burst", during)
+		m.logOutcomes("after", after)
+		if got := fractionOf(calm, nil, (*outcome).inTime); got < 0.95 {
 			t.Errorf("calm: %.3f in time", got)
 		}
-		if got := share(calm, nil, refused); got > 0 {
+		if got := fractionOf(calm, nil, refused); got > 0 {
 			t.Errorf("calm: %.3f refused", got)
 		}
-		if got := share(after, nil, (*outcome).inTime); got < 0.95 {
+		if got := fractionOf(after, nil, (*outcome).inTime); got < 0.95 {
 			t.Errorf("after the burst: %.3f in time", got)
 		}
 		for _, o := range during {
 			for _, took := range o.refusals {
-				if limit := time.Duration(refusalPart * float64(o.kind.objective)); took > limit {
-					t.Errorf("%s refused after %v, a part of %v at most", o.kind.name, took, limit)
+				if limit := time.Duration(maxRefusalFraction * float64(o.class.objective)); took > limit {
+					t.Errorf("%s refused after %v, want at most %v", o.class.name, took, limit)
 				}
 			}
 		}
-		for i := 1; i < len(kinds); i++ {
-			urgent, less := share(during, &kinds[i-1], (*outcome).inTime), share(during, &kinds[i], (*outcome).inTime)
+		for i := 1; i < len(requestClasses); i++ {
+			urgent, less := fractionOf(during, &requestClasses[i-1], (*outcome).inTime), fractionOf(during, &requestClasses[i], (*outcome).inTime)
 			if urgent < less-0.15 {
-				t.Errorf("burst: %s %.3f in time, the less urgent %s %.3f", kinds[i-1].name, urgent, kinds[i].name, less)
+				t.Errorf("burst: %s %.3f in time, the less urgent %s %.3f", requestClasses[i-1].name, urgent, requestClasses[i].name, less)
 			}
 		}
 	})
 }
 
-// The engines of an availability zone end at once, without a word, and none are to be had for
-// them; their records stay for three seconds. What they ran is lost; what comes a moment later
-// is served by the others, none of which is asked for more than it can do.
+// The engines of an availability zone end at once without notice and are not replaced. Their
+// records stay for three seconds. Requests running there are lost; those that come a moment
+// later must be served by the other engines, none of which may be asked for more than it can do.
 func TestLossOfAZonesEngines(t *testing.T) {
-	inModelFleet(t, 20, 8, func(m *models) {
-		// The engines that are left are as busy as all of them are with the usual load.
+	inBatchFleet(t, 20, 8, func(m *batchFleet) {
+		// The remaining engines are as busy as all of them are with the usual load.
 		const load = 0.75 * usualLoad
 		m.load(load, 8*time.Second)
 		lost := time.Now()
 		for i, s := range m.servers {
 			if i%m.f.zones == 0 {
 				_ = s.Close()
-				time.AfterFunc(recordTime, func() { m.f.store.Remove(platform.EndpointKind, fmt.Sprintf("i-%d", i)) })
+				time.AfterFunc(recordLifetime, func() { m.f.store.Remove(platform.EndpointKind, fmt.Sprintf("i-%d", i)) })
 			}
 		}
 		m.load(load, 10*time.Second)
 		after := m.between(lost.Add(500*time.Millisecond), time.Now())
-		m.report("after the loss", after)
-		if got := share(after, nil, func(o *outcome) bool { return o.whole }); got < 0.98 {
+		m.logOutcomes("after the loss", after)
+		if got := fractionOf(after, nil, func(o *outcome) bool { return o.complete }); got < 0.98 {
 			t.Errorf("%.3f served", got)
 		}
-		if got := share(after, nil, (*outcome).inTime); got < 0.9 {
+		if got := fractionOf(after, nil, (*outcome).inTime); got < 0.9 {
 			t.Errorf("%.3f in time", got)
 		}
 	})
--- a/internal/role/gateway/objects.go
+++ b/internal/role/gateway/objects.go
@@ -14,63 +14,63 @@
 	"brasschute/platform"
 )
 
-// unreadablePerSecond bounds the log lines of records that can't be read: whoever spoils
-// one may spoil all. A counter counts the others.
-const unreadablePerSecond = 5
+// maxUnreadableLogsPerSecond limits the log lines about undecodable records: a writer that
+// corrupts one record may corrupt all. A counter counts all of them.
+const maxUnreadableLogsPerSecond = 5
 
-// take takes in what the store told at once.
-func (g *Gateway) take(objects []object.Object) {
-	g.spreadNews(g.mirror.Apply(g.readable(objects)), sourceStore)
+// applyFromStore applies objects that the store returned in one answer.
+func (g *Gateway) applyFromStore(objects []object.Object) {
+	g.applyChanges(g.mirror.Apply(g.dropUnreadable(objects)), sourceStore)
 }
 
-// sourceStore names the store as the source of news; peers are named by address.
+// sourceStore names the store as the source of a change; peers are named by address.
 const sourceStore = "store"
 
-// sourceSettings names the deployment's settings as a source.
+// sourceSettings names the deployment's settings as the source of a change.
 const sourceSettings = "settings"
 
-// spreadNews acts by what is new, and tells peers of it.
-func (g *Gateway) spreadNews(news []object.Object, source string) {
-	if len(news) == 0 {
+// applyChanges applies new objects and notifies peers of them.
+func (g *Gateway) applyChanges(changes []object.Object, source string) {
+	if len(changes) == 0 {
 		return
 	}
 	var endpoints, orders []object.Object
-	for _, o := range news {
+	for _, o := range changes {
 		switch kind, _, _ := strings.Cut(o.Key, "/"); kind {
 		case platform.CatalogKind:
-			g.configuration(o, source)
+			g.applyConfiguration(o, source)
 		case platform.RolloutKind:
 			orders = append(orders, o)
 		default:
 			endpoints = append(endpoints, o)
 		}
 	}
-	// Before the endpoints: those of a new version wait until their order is known.
+	// Orders come before endpoints: endpoints of a new version wait until its order is known.
 	if len(orders) > 0 {
-		g.rolloutsChanged(orders, source)
+		g.applyRollouts(orders, source)
 	}
 	if len(endpoints) > 0 {
-		g.endpointsChanged(endpoints)
+		g.applyEndpoints(endpoints)
 	}
-	g.swapper.TriggerNotes(g.follows())
+	g.syncer.TriggerNotes(g.watchesStore())
 }
 
-// readable leaves out configurations that can't be read, and what else is stored beside
-// them. The mirror keeps the last good one for peers that start anew: in place of it they
-// would get one that none can use.
-func (g *Gateway) readable(objects []object.Object) []object.Object {
+// dropUnreadable removes configurations that cannot be decoded, and other objects stored under
+// their prefix. The mirror keeps the last good configuration for peers that restart; otherwise
+// they would get one that no daemon can use.
+func (g *Gateway) dropUnreadable(objects []object.Object) []object.Object {
 	out := make([]object.Object, 0, len(objects))
 	for _, o := range objects {
-		if !strings.HasPrefix(o.Key, platform.CatalogKind+"/") || o.Key == platform.CatalogKey && g.decode(&o) {
+		if !strings.HasPrefix(o.Key, platform.CatalogKind+"/") || o.Key == platform.CatalogKey && g.decodeCatalog(&o) {
 			out = append(out, o)
 		}
 	}
 	return out
 }
 
-// decode decodes a configuration that is newer than those before, and tells whether the
-// object may be kept.
-func (g *Gateway) decode(o *object.Object) bool {
+// decodeCatalog decodes a configuration that is newer than the last one decoded, and reports
+// whether the object may be kept.
+func (g *Gateway) decodeCatalog(o *object.Object) bool {
 	if d := g.decoded.Load(); o.Deleted || d != nil && d.revision >= o.Version {
 		return true
 	}
@@ -80,13 +80,13 @@
 		g.c.Logger.Error("configuration refused, the last good one stays in force", "revision", o.Version, "error", err)
 		return false
 	}
-	g.keepDecoded(&decodedCatalog{o.Version, c})
+	g.keepNewest(&decodedCatalog{o.Version, c})
 	return true
 }
 
-// keepDecoded keeps a configuration unless a newer one has been read meanwhile: the store
-// and peers tell at the same time.
-func (g *Gateway) keepDecoded(d *decodedCatalog) {
+// keepNewest keeps a decoded configuration unless a newer one was kept meanwhile: the store
+// and peers deliver concurrently.
+func (g *Gateway) keepNewest(d *decodedCatalog) {
 	for {
 		old := g.decoded.Load()
 		if old != nil && old.revision >= d.revision || g.decoded.CompareAndSwap(old, d) {
@@ -95,15 +95,15 @@
 	}
 }
 
-// configuration brings a configuration into force. source says who told it: the store,
-// or a peer's address.
-func (g *Gateway) configuration(o object.Object, source string) {
+// applyConfiguration puts the decoded configuration in force. source is the store, or a peer's
+// address.
+func (g *Gateway) applyConfiguration(o object.Object, source string) {
 	d := g.decoded.Load()
 	if o.Key != platform.CatalogKey || o.Deleted || d == nil {
 		return
 	}
 	behind := int64(0)
-	if lag, is := g.versioner.Lag(); is {
+	if lag, ok := g.versioner.Lag(); ok {
 		behind = time.Since(lag.Since).Milliseconds()
 	}
 	c := d.catalog
@@ -115,31 +115,32 @@
 		"organisations", len(c.Organisations()), "bytes", len(o.Value), "source", source, "behind_ms", behind)
 }
 
-// endpointsChanged takes in what changed of the list of endpoints, at once: a
-// daemon that is ready knows the whole list, not its first entry.
-func (g *Gateway) endpointsChanged(objects []object.Object) {
+// applyEndpoints applies the changes of the list of endpoints in one step: a daemon that is
+// ready must know the whole list, not just its first entry.
+func (g *Gateway) applyEndpoints(objects []object.Object) {
 	listed := make(map[string]*inventory.Host, len(objects))
 	for i := range objects {
 		id := strings.TrimPrefix(objects[i].Key, platform.EndpointKind+"/")
-		h, err := g.endpoint(id, &objects[i])
+		h, err := g.decodeEndpoint(id, &objects[i])
 		if errors.Is(err, registrar.ErrStale) {
-			// The store and peers tell at the same time; the newer record holds.
+			// The store and peers deliver concurrently; the newer record stays.
 			continue
 		}
 		if err != nil {
-			// The record names no endpoint to use, whatever stood there before.
-			g.unreadable([]error{fmt.Errorf("%s, revision %d: %w", objects[i].Key, objects[i].Version, err)})
+			// An undecodable record names no usable endpoint, whatever it held before.
+			g.logUnreadable([]error{fmt.Errorf("%s, revision %d: %w", objects[i].Key, objects[i].Version, err)})
 		}
 		listed[id] = h
 	}
 	g.registry.UpdateHosts(listed)
-	g.listed.Store(g.listed.Load() || len(g.registry.Hosts()) > 0)
+	g.endpointsListed.Store(g.endpointsListed.Load() || len(g.registry.Hosts()) > 0)
 }
 
-// endpoint decodes the record of an endpoint; nil without an error if it is gone.
-func (g *Gateway) endpoint(id string, o *object.Object) (*inventory.Host, error) {
+// decodeEndpoint decodes an endpoint's record. It returns nil without an error if the record
+// was deleted.
+func (g *Gateway) decodeEndpoint(id string, o *object.Object) (*inventory.Host, error) {
 	if o.Deleted {
-		g.c.Logger.Info("endpoint gone", "endpoint", id, "revision", o.Version)
+		g.c.Logger.Info("endpoint removed", "endpoint", id, "revision", o.Version)
 		return nil, nil
 	}
 	e, err := platform.DecodeEndpoint(id, o.Value)
@@ -156,14 +157,14 @@
 	return &h, nil
 }
 
-// unreadable notes records that can't be read: others than the platform's endpoints and
-// operators write to the store, too.
-func (g *Gateway) unreadable(found []error) {
+// logUnreadable counts and logs records that cannot be decoded. Writers other than the
+// platform's endpoints and operators use the store, too.
+func (g *Gateway) logUnreadable(found []error) {
 	g.scope.Counter("records_unreadable").Inc(int64(len(found)))
 	for _, err := range found {
-		if !g.unread.Allow() {
+		if !g.unreadableLogs.Allow() {
 			return
 		}
-		g.c.Logger.Error("record not understood, it is left out", "error", err)
+		g.c.Logger.Error("record not decodable, ignored", "error", err)
 	}
 }
--- a/internal/role/gateway/quarantine.go
+++ b/internal/role/gateway/quarantine.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// quarantineKey is the store's object with the requests that are held, for processes that
-	// start when nobody else is left to tell: after a loss of all power each of them would
-	// end endpoints once more.
+	// quarantineKey is the store's object with the requests in quarantine, for processes that
+	// start when no peer is left to ask: after a loss of all power each of these requests would
+	// crash endpoints again.
 	quarantineKey = "fleet/quarantine"
-	// QuarantinePath is where the metrics' listener takes an operator's DELETE, with a request's
-	// fingerprint behind it.
+	// QuarantinePath is the path prefix on the metrics listener at which an operator's DELETE,
+	// followed by a request's fingerprint, releases the request.
 	QuarantinePath = "/quarantine/"
 )
 
-// quarantineRecord is the content of that object. Times are the writer's estimate of the
-// true time.
+// quarantineRecord is the content of the object at quarantineKey. Times are the writer's
+// estimate of the true time.
 type quarantineRecord struct {
 	Requests []quarantiner.Suspect
 }
 
-// spreadEndings tells peers of news about requests under which endpoints ended. A relay passes
-// what it heard on to all that it tells, another daemon to some, as whoever saw an ending may
-// not know all daemons.
-func (g *Gateway) spreadEndings(own bool) { g.swapper.TriggerNotes(own || g.large() && g.relaying()) }
+// gossipEndings notifies peers of updates about requests under which endpoints ended. A relay
+// also forwards what it received, because the daemon that saw an ending may not know all
+// daemons.
+func (g *Gateway) gossipEndings(own bool) { g.syncer.TriggerNotes(own || g.isLarge() && g.isRelay()) }
 
-// held returns the requests that are held, and a text that changes with them.
-func (g *Gateway) held() (list []quarantiner.Suspect, state string) {
+// heldRequests returns the requests in quarantine, and a string that changes when they do.
+func (g *Gateway) heldRequests() (list []quarantiner.Suspect, state string) {
 	var b strings.Builder
 	for _, s := range g.quarantine.List() {
 		if !s.Held {
@@ -48,35 +48,35 @@
 	return list, b.String()
 }
 
-// keepQuarantine writes down which requests are held when that has changed: a call or two
-// for each of them.
-func (u *duties) keepQuarantine(ctx context.Context) {
-	if _, state := u.g.held(); state == u.quarantine {
+// storeQuarantine stores the requests in quarantine when they have changed, in one or two calls
+// a change.
+func (u *duties) storeQuarantine(ctx context.Context) {
+	if _, state := u.g.heldRequests(); state == u.storedQuarantine {
 		return
 	}
-	// What another holder stored is taken over first.
+	// Merge first what another holder stored.
 	version, err := u.g.loadQuarantine(ctx)
 	if err != nil && !errors.Is(err, object.ErrMissing) {
 		u.g.c.Logger.Warn("requests in quarantine not stored", "error", err)
 		return
 	}
-	list, state := u.g.held()
-	r := quarantineRecord{Requests: shift(list, time.Until(u.g.clock.Now()))}
+	list, state := u.g.heldRequests()
+	r := quarantineRecord{Requests: shiftTimes(list, time.Until(u.g.clock.Now()))}
 	if _, err := u.g.store.Put(ctx, quarantineKey, version, r); err != nil {
 		u.g.c.Logger.Warn("requests in quarantine not stored", "error", err)
 		return
 	}
-	u.quarantine = state
+	u.storedQuarantine = state
 }
 
-// readQuarantine takes over the requests that were held before this process started.
+// readQuarantine loads the requests that were in quarantine before this process started.
 func (g *Gateway) readQuarantine(ctx context.Context) error {
 	_, err := g.loadQuarantine(ctx)
 	return err
 }
 
-// loadQuarantine takes over what is stored, and returns the version of it: [object.Absent]
-// with [object.ErrMissing] if nothing is.
+// loadQuarantine merges the stored requests and returns the object's version. If there is no
+// object it returns [object.Absent] and [object.ErrMissing].
 func (g *Gateway) loadQuarantine(ctx context.Context) (version uint64, err error) {
 	o, err := g.store.Get(ctx, quarantineKey)
 	if err != nil {
@@ -84,29 +84,29 @@
 	}
 	var r quarantineRecord
 	if err := json.Unmarshal(o.Value, &r); err != nil {
-		// Written anew with the next change.
-		g.unreadable([]error{fmt.Errorf("%s, revision %d: %w", quarantineKey, o.Version, err)})
+		// The next change overwrites the record.
+		g.logUnreadable([]error{fmt.Errorf("%s, revision %d: %w", quarantineKey, o.Version, err)})
 		return o.Version, nil
 	}
-	g.quarantine.Merge(shift(r.Requests, time.Since(g.clock.Now())))
+	g.quarantine.Merge(shiftTimes(r.Requests, time.Since(g.clock.Now())))
 	g.c.Logger.Info("requests in quarantine read from the store", "requests", len(r.Requests), "revision", o.Version)
 	return o.Version, nil
 }
 
-// shift moves the times of endings between this process's clock and the estimate of the
-// true time.
-func shift(list []quarantiner.Suspect, by time.Duration) []quarantiner.Suspect {
+// shiftTimes converts the times of endings, in place, between this process's clock and the
+// estimate of the true time.
+func shiftTimes(list []quarantiner.Suspect, offset time.Duration) []quarantiner.Suspect {
 	for i := range list {
 		for k := range list[i].Endings {
 			e := &list[i].Endings[k]
-			e.At = e.At.Add(by)
+			e.At = e.At.Add(offset)
 		}
 	}
 	return list
 }
 
-// liftHandler clears a request as an operator asks: 204, or 404 if nothing is known against it.
-func (g *Gateway) liftHandler(w http.ResponseWriter, r *http.Request) {
+// serveLift releases a request from quarantine: 204, or 404 if nothing is known against it.
+func (g *Gateway) serveLift(w http.ResponseWriter, r *http.Request) {
 	if !g.quarantine.Lift(identifier.Fingerprint(r.PathValue("fingerprint"))) {
 		w.WriteHeader(http.StatusNotFound)
 		return
--- a/internal/role/gateway/quotas.go
+++ b/internal/role/gateway/quotas.go
@@ -13,45 +13,45 @@
 )
 
 const (
-	// quotaKey is the store's object with what is left of the quotas, for processes
-	// that start when nobody else is left to tell.
+	// quotaKey is the store's object with the quotas' levels, for processes that start when no
+	// peer is left to ask.
 	quotaKey = "fleet/quotas"
-	// quotaPause is how often the holder of the duties writes it down. An older one
-	// tells less, as all that was asked for since is taken off.
-	quotaPause = time.Second
+	// quotaStoreInterval is how often the lease holder stores the levels. An older record is less
+	// useful, because everything requested since then is subtracted.
+	quotaStoreInterval = time.Second
 )
 
-// keepQuotas writes the levels of all quotas down while the duties are held. It has a
-// loop of its own: a store that is slow must hold up no order.
-func (u *duties) keepQuotas(ctx context.Context) error {
-	return waiter.Every(ctx, quotaPause, func(ctx context.Context) {
+// runQuotaStore stores the levels of all quotas while the lease is held. It is a service of its
+// own so that a slow store does not delay scaling orders.
+func (u *duties) runQuotaStore(ctx context.Context) error {
+	return waiter.Every(ctx, quotaStoreInterval, func(ctx context.Context) {
 		if _, held := u.g.lease.Held(); held && !u.g.stopping.Load() {
-			u.writeQuotas(ctx)
+			u.storeQuotas(ctx)
 		}
 	})
 }
 
-func (u *duties) writeQuotas(ctx context.Context) {
-	r := u.g.allotter.Snapshot(u.g.clock.Now())
+func (u *duties) storeQuotas(ctx context.Context) {
+	r := u.g.quotaLimiter.Snapshot(u.g.clock.Now())
 	if len(r.Levels) == 0 {
 		return
 	}
-	o, err := u.g.store.Put(ctx, quotaKey, u.quotasVersion, r)
+	o, err := u.g.store.Put(ctx, quotaKey, u.storedQuotasVersion, r)
 	if errors.Is(err, object.ErrConflict) {
-		// Another holder wrote it before, or this one's answer was lost.
+		// Another holder wrote it before, or the answer to this one's write was lost.
 		if o, err = u.g.store.Get(ctx, quotaKey); err == nil {
-			u.quotasVersion = o.Version
-			o, err = u.g.store.Put(ctx, quotaKey, u.quotasVersion, r)
+			u.storedQuotasVersion = o.Version
+			o, err = u.g.store.Put(ctx, quotaKey, u.storedQuotasVersion, r)
 		}
 	}
 	if err != nil {
-		u.g.c.Logger.Warn("levels of quotas not stored", "error", err)
+		u.g.c.Logger.Warn("quota levels not stored", "error", err)
 		return
 	}
-	u.quotasVersion = o.Version
+	u.storedQuotasVersion = o.Version
 }
 
-// readQuotas takes over the levels that a holder of the duties wrote down last.
+// readQuotas restores the quotas' levels that a lease holder stored last.
 func (g *Gateway) readQuotas(ctx context.Context) error {
 	o, err := g.store.Get(ctx, quotaKey)
 	if err != nil {
@@ -62,7 +62,7 @@
 		return fmt.Errorf("gateway: %s: %w", quotaKey, err)
 	}
 	age := g.clock.Now().Sub(r.At)
-	g.allotter.Restore(r, age)
-	g.c.Logger.Info("levels of quotas read from the store", "age_ms", age.Milliseconds(), "organisations", len(r.Levels))
+	g.quotaLimiter.Restore(r, age)
+	g.c.Logger.Info("quota levels read from the store", "age_ms", age.Milliseconds(), "organisations", len(r.Levels))
 	return nil
 }
--- a/internal/role/gateway/race_test.go
+++ b/internal/role/gateway/race_test.go
@@ -2,5 +2,5 @@
 
 package gateway
 
-// raceDetector tells whether the tests run under the race detector.
+// raceDetector reports whether the tests run under the race detector.
 const raceDetector = true
--- a/internal/role/gateway/rests.go
+++ b/internal/role/gateway/rests.go
@@ -11,44 +11,44 @@
 	"golang.org/x/time/rate"
 )
 
-// restNotesPerSecond bounds the notes about rests: engines that are full may ask all daemons
-// for it at once. Digests tell the others.
-const restNotesPerSecond = 4
+// maxBackoffNotesPerSecond limits the notes about backoffs: engines that are full may ask all
+// daemons at once. Beyond it, peers learn of a backoff from digests.
+const maxBackoffNotesPerSecond = 4
 
-// restNotes bounds a daemon's notes about rests.
-func restNotes() *rate.Limiter { return rate.NewLimiter(restNotesPerSecond, 1) }
+// newBackoffNoteLimiter returns a daemon's limiter of notes about backoffs.
+func newBackoffNoteLimiter() *rate.Limiter { return rate.NewLimiter(maxBackoffNotesPerSecond, 1) }
 
-// ObserveBackoff leaves an endpoint alone that turned a request away and wants nothing from this daemon
-// for a time. Others are told and spare it: else each of them finds out with a request of a
-// client, whose next try takes from the retry budget of the service.
+// ObserveBackoff stops sending to an endpoint that refused a request and asked this daemon for a
+// pause. Peers are notified and avoid it as well: otherwise each of them would learn of the
+// backoff from a refused client request, whose retry takes from the service's retry budget.
 func (g *Gateway) ObserveBackoff(q *request.Request, pick *registry.Pick, d time.Duration) {
 	until := g.registry.BackOff(pick, d)
 	g.scope.Counter("endpoint_rests").Inc(1)
-	if g.limitLines.Allow() {
-		g.c.Logger.Info("endpoint wants rest", "request", q.ID, "endpoint", pick.Endpoint, "born", pick.Born, "for_ms", d.Milliseconds(),
+	if g.endpointLogs.Allow() {
+		g.c.Logger.Info("endpoint asked for backoff", "request", q.ID, "endpoint", pick.Endpoint, "born", pick.Born, "for_ms", d.Milliseconds(),
 			"left_alone_ms", time.Until(until).Milliseconds())
 	}
-	if g.restNotes.Allow() {
-		g.swapper.TriggerNotes(true)
+	if g.backoffNotes.Allow() {
+		g.syncer.TriggerNotes(true)
 	}
 }
 
-// spare takes in what a peer tells of endpoints that want rest.
-func (g *Gateway) spare(list []*rpc.EndpointRest) {
-	news := false
+// mergeBackoffs merges the backoffs that a peer reports.
+func (g *Gateway) mergeBackoffs(list []*rpc.EndpointRest) {
+	changed := false
 	for _, l := range list {
-		news = g.registry.ApplyPeerBackoff(registry.Backoff{
+		changed = g.registry.ApplyPeerBackoff(registry.Backoff{
 			Endpoint: identifier.Endpoint(l.GetEndpoint()), Born: identifier.StartTime(l.GetBorn()),
 			Until: time.Now().Add(time.Duration(l.GetLeftMilli()) * time.Millisecond),
-		}) || news
+		}) || changed
 	}
-	if news && g.large() && g.relaying() && g.restNotes.Allow() {
-		g.swapper.TriggerNotes(true)
+	if changed && g.isLarge() && g.isRelay() && g.backoffNotes.Allow() {
+		g.syncer.TriggerNotes(true)
 	}
 }
 
-// restsTold is what this daemon tells others of endpoints that want rest.
-func (g *Gateway) restsTold() []*rpc.EndpointRest {
+// encodeBackoffs returns the backoffs in effect, for peers.
+func (g *Gateway) encodeBackoffs() []*rpc.EndpointRest {
 	list := g.registry.Backoffs()
 	out := make([]*rpc.EndpointRest, len(list))
 	for i, l := range list {
--- a/internal/role/gateway/rollouts.go
+++ b/internal/role/gateway/rollouts.go
@@ -22,37 +22,37 @@
 )
 
 const (
-	// rolloutPause is how often the holder of the duties looks at the orders: several times
-	// in the half second for which all requests go to a new version before it is complete.
-	rolloutPause = 100 * time.Millisecond
-	// rolloutWatch is how long a watch of the orders stays open at the least: they come seldom,
-	// and each watch has its price. Half of it is the most by which it lasts longer, so that
-	// the followers of a fleet do not all hear nothing of a dropped history for as long.
-	rolloutWatch = 12 * time.Second
-	// storeAgain is the pause before a state is stored again that could not be.
-	storeAgain = 500 * time.Millisecond
-	// lackPause is how often it is written down what keeps a version from moving on.
-	lackPause = 5 * time.Second
+	// rolloutInterval is how often the lease holder evaluates the roll-outs: several times in the
+	// half second for which all requests go to a new version before it is complete.
+	rolloutInterval = 100 * time.Millisecond
+	// minRolloutWatch is the shortest time that a watch of roll-out orders stays open. Orders are
+	// rare, and every watch call costs the store. Up to half of it is added at random, so that the
+	// daemons of a fleet do not all miss a dropped history for the same time.
+	minRolloutWatch = 12 * time.Second
+	// statusRetryDelay is the pause after a status that could not be stored.
+	statusRetryDelay = 500 * time.Millisecond
+	// blockedLogInterval limits how often it is logged what blocks a roll-out.
+	blockedLogInterval = 5 * time.Second
 )
 
-// rolloutsRevision is that up to which the orders are known.
+// rolloutsRevision returns the revision up to which the roll-out orders are known.
 func (g *Gateway) rolloutsRevision() uint64 { return g.mirror.Revision(platform.RolloutKind) }
 
-// rolloutsChanged takes in what changed of the orders.
-func (g *Gateway) rolloutsChanged(objects []object.Object, source string) {
+// applyRollouts applies changes of the roll-out orders.
+func (g *Gateway) applyRollouts(objects []object.Object, source string) {
 	orders := make(map[identifier.Service]*rollout.Rollout, len(objects))
 	for i := range objects {
 		o := &objects[i]
 		name := identifier.Service(strings.TrimPrefix(o.Key, platform.RolloutKind+"/"))
 		if o.Deleted {
-			g.c.Logger.Info("roll-out not ordered any more", "service", name, "revision", o.Version, "source", source)
+			g.c.Logger.Info("roll-out order removed", "service", name, "revision", o.Version, "source", source)
 			orders[name] = nil
 			continue
 		}
 		r, err := platform.DecodeRollout(o)
 		if err != nil {
-			// The order before it, if any, stays what it was.
-			g.unreadable([]error{err})
+			// An undecodable order leaves the previous one, if any, in effect.
+			g.logUnreadable([]error{err})
 			continue
 		}
 		orders[name] = r
@@ -60,15 +60,15 @@
 	g.splitter.ApplyOrders(orders, source)
 }
 
-// rolloutChanged writes down what this daemon takes for the phase of a roll-out from now on.
-func (g *Gateway) rolloutChanged(c splitter.PhaseChange) {
+// logRolloutPhase counts and logs a change of phase as seen by this daemon.
+func (g *Gateway) logRolloutPhase(c splitter.PhaseChange) {
 	g.scope.Tagged(map[string]string{"service": string(c.Service), "phase": c.After.String()}).Counter("rollout_phases").Inc(1)
-	g.c.Logger.Info("roll-out", "service", c.Service, "target", c.Target, "order", orderName(c.Order), "phase", c.After, "before", c.Before,
+	g.c.Logger.Info("roll-out", "service", c.Service, "target", c.Target, "order", formatOrder(c.Order), "phase", c.After, "before", c.Before,
 		"source", c.Source, "age_ms", c.Age.Milliseconds())
 }
 
-// rolloutCounted counts what came of a request to a service that is rolled out.
-func (g *Gateway) rolloutCounted(r *splitter.Run, isTarget, slow bool) {
+// countRolloutAnswer counts the outcome of a request to a service that is being rolled out.
+func (g *Gateway) countRolloutAnswer(r *splitter.Run, isTarget, slow bool) {
 	side, outcome := "old", "answered"
 	if isTarget {
 		side = "new"
@@ -82,11 +82,11 @@
 	g.scope.Tagged(map[string]string{"service": string(r.Service), "version": side, "outcome": outcome}).Counter("rollout_answers").Inc(1)
 }
 
-// orderName is how an order is written.
-func orderName(order uint64) string { return strconv.FormatUint(order, 16) }
+// formatOrder formats the id of a roll-out order for logs and views.
+func formatOrder(order uint64) string { return strconv.FormatUint(order, 16) }
 
-// rolloutNews is what this daemon knows of all orders, to be passed on.
-func (g *Gateway) rolloutNews() []*rpc.Rollout {
+// encodeRollouts returns the known roll-out orders and the grants for them, for peers.
+func (g *Gateway) encodeRollouts() []*rpc.Rollout {
 	now := g.uptime()
 	granted := make(map[uint64]splitter.Grant)
 	for _, grant := range g.splitter.Grants() {
@@ -106,31 +106,31 @@
 	return out
 }
 
-// hearRollouts takes in what a peer knows of the orders. One that this daemon does not know,
-// or knows less of, is fetched.
-func (g *Gateway) hearRollouts(list []*rpc.Rollout, host, address string) {
+// mergeRollouts merges the roll-outs that a peer knows. It fetches the orders from the peer if
+// the peer's revision is newer.
+func (g *Gateway) mergeRollouts(list []*rpc.Rollout, host, address string) {
 	now := g.uptime()
-	news := false
+	changed := false
 	for _, r := range list {
 		if g.rolloutsRevision() < r.GetRevision() {
-			g.orders.Want(address, r.GetRevision())
+			g.rolloutFetcher.Want(address, r.GetRevision())
 		}
 		if r.GetFencing() == 0 || rollout.Phase(r.GetPhase()) > rollout.Reverted || r.GetAgeMilli() < 0 {
 			continue
 		}
-		news = g.splitter.ApplyGrant(&splitter.Grant{
+		changed = g.splitter.ApplyGrant(&splitter.Grant{
 			Service: identifier.Service(r.GetService()), Target: identifier.Version(r.GetTarget()), Order: r.GetOrder(),
 			Phase: rollout.Phase(r.GetPhase()), Fencing: r.GetFencing(), Sequence: r.GetBeat(),
 			IssuedAt: now.Add(-time.Duration(r.GetAgeMilli()) * time.Millisecond), OldEndAt: now.Add(time.Duration(r.GetLeftMilli()) * time.Millisecond),
-		}, host) || news
+		}, host) || changed
 	}
-	if news {
-		g.swapper.TriggerNotes(g.large() && g.relaying())
+	if changed {
+		g.syncer.TriggerNotes(g.isLarge() && g.isRelay())
 	}
 }
 
-// trials are what this daemon's requests met since the orders.
-func (g *Gateway) trials() []*rpc.Trial {
+// encodeTrials returns the outcomes of this daemon's requests since the orders, for peers.
+func (g *Gateway) encodeTrials() []*rpc.Trial {
 	var out []*rpc.Trial
 	for _, t := range g.splitter.Tallies() {
 		out = append(out, &rpc.Trial{
@@ -142,18 +142,19 @@
 	return out
 }
 
-// tallies are the trials of all daemons, by process. What processes run that have not been
-// heard for a while has ended with them, or is out of reach.
+// tallies returns the outcomes of all daemons' requests by process, and the requests in flight
+// by service. Requests of a process that was not heard from for a while do not count as in
+// flight: they have ended with it, or it is unreachable.
 func (u *duties) tallies() (out map[string][]splitter.Tally, running map[identifier.Service]int) {
 	out, running = make(map[string][]splitter.Tally), make(map[identifier.Service]int)
 	now := time.Now()
-	take := func(d *rpc.Digest, heard time.Time) {
+	add := func(d *rpc.Digest, lastHeard time.Time) {
 		name := d.GetHost() + "/" + strconv.FormatUint(d.GetIncarnation(), 16)
-		if _, twice := out[name]; twice {
+		if _, seen := out[name]; seen {
 			return
 		}
 		for _, t := range d.GetTrials() {
-			if t.GetEndpoint() == "" && now.Sub(heard) < roster.LivenessTimeout {
+			if t.GetEndpoint() == "" && now.Sub(lastHeard) < roster.LivenessTimeout {
 				running[identifier.Service(t.GetService())] += int(t.GetSent()) - int(t.GetEnded())
 			}
 			out[name] = append(out[name], splitter.Tally{
@@ -164,22 +165,22 @@
 		}
 	}
 	d := u.g.c.Deployment
-	take(&rpc.Digest{Host: string(d.Host), Incarnation: uint64(u.g.started.UnixNano()), Trials: u.g.trials()}, now)
-	entries := slices.Concat(u.g.gatherer.Entries(now), u.g.parts.Entries(now))
+	add(&rpc.Digest{Host: string(d.Host), Incarnation: uint64(u.g.started.UnixNano()), Trials: u.g.encodeTrials()}, now)
+	entries := slices.Concat(u.g.gatherer.Entries(now), u.g.relayedDigests.Entries(now))
 	slices.SortFunc(entries, func(a, b gatherer.Entry) int { return cmp.Compare(b.Digest.GetSequence(), a.Digest.GetSequence()) })
 	for _, e := range entries {
-		// Across zones daemons tell no trials but through their relays.
+		// Daemons of other zones send the outcomes of their requests only through relays.
 		if len(e.Digest.GetTrials()) > 0 {
-			take(e.Digest, e.ReceivedAt)
+			add(e.Digest, e.ReceivedAt)
 		}
 	}
 	return out, running
 }
 
-// keepRollouts brings the ordered roll-outs forward while the duties are held. It has a loop
-// of its own: a store that is slow must hold up no verdict on a version.
-func (u *duties) keepRollouts(ctx context.Context) error {
-	return waiter.Every(ctx, rolloutPause, func(ctx context.Context) {
+// runRollouts advances the ordered roll-outs while the lease is held. It is a service of its
+// own so that a slow store does not delay the verdict on a version.
+func (u *duties) runRollouts(ctx context.Context) error {
+	return waiter.Every(ctx, rolloutInterval, func(ctx context.Context) {
 		fencing, held := u.g.lease.Held()
 		if !held || u.g.stopping.Load() {
 			return
@@ -189,83 +190,84 @@
 			return
 		}
 		tallies, running := u.tallies()
-		in := &promoter.Input{Now: u.g.uptime(), Orders: orders, Tallies: tallies, Running: running, Endpoints: u.g.versions}
-		hurry := false
+		in := &promoter.Input{Now: u.g.uptime(), Orders: orders, Tallies: tallies, Running: running, Endpoints: u.g.endpointsByVersion}
+		urgent := false
 		for _, step := range u.promoter.Step(in) {
-			hurry = u.rolloutStep(ctx, fencing, &step) || hurry
+			urgent = u.applyRolloutStep(ctx, fencing, &step) || urgent
 		}
-		if hurry {
-			u.g.swapper.TriggerNotes(true)
+		if urgent {
+			u.g.syncer.TriggerNotes(true)
 		}
-		u.explainLacks(in)
+		u.logBlockedRollouts(in)
 	})
 }
 
-// rolloutStep tells one step to all daemons and stores it. It reports whether they should
-// know at once.
-func (u *duties) rolloutStep(ctx context.Context, fencing uint64, s *promoter.Step) (hurry bool) {
-	u.beat++
-	told := s.Phase
-	if told == rollout.Complete {
-		// What is complete ends the old endpoints, and is so once it is stored.
-		told = rollout.Switching
+// applyRolloutStep announces one step to all daemons and stores it if needed. It reports
+// whether peers must be notified at once.
+func (u *duties) applyRolloutStep(ctx context.Context, fencing uint64, step *promoter.Step) (urgent bool) {
+	u.grantSequence++
+	announced := step.Phase
+	if announced == rollout.Complete {
+		// Completion ends the old endpoints, so it takes effect only once it is stored.
+		announced = rollout.Switching
 	}
 	u.g.splitter.ApplyGrant(&splitter.Grant{
-		Service: s.Order.Service, Target: s.Order.Target, Order: s.Order.OrderID(), Phase: told,
-		Fencing: fencing, Sequence: u.beat, IssuedAt: u.g.uptime(), OldEndAt: s.Ends,
+		Service: step.Order.Service, Target: step.Order.Target, Order: step.Order.OrderID(), Phase: announced,
+		Fencing: fencing, Sequence: u.grantSequence, IssuedAt: u.g.uptime(), OldEndAt: step.Ends,
 	}, string(u.g.c.Deployment.Host))
-	if s.Changed {
-		u.g.scope.Tagged(map[string]string{"service": string(s.Order.Service), "phase": s.Phase.String()}).Counter("rollouts_decided").Inc(1)
-		u.g.c.Logger.Info("roll-out decided", "service", s.Order.Service, "target", s.Order.Target, "order", orderName(s.Order.OrderID()),
-			"phase", s.Phase, "reason", s.Reason, "new", s.Evidence.New, "old", s.Evidence.Old, "fencing", fencing,
-			"ends_in_ms", s.Ends.Sub(u.g.uptime()).Milliseconds())
+	if step.Changed {
+		u.g.scope.Tagged(map[string]string{"service": string(step.Order.Service), "phase": step.Phase.String()}).Counter("rollouts_decided").Inc(1)
+		u.g.c.Logger.Info("roll-out decided", "service", step.Order.Service, "target", step.Order.Target, "order", formatOrder(step.Order.OrderID()),
+			"phase", step.Phase, "reason", step.Reason, "new", step.Evidence.New, "old", step.Evidence.Old, "fencing", fencing,
+			"ends_in_ms", step.Ends.Sub(u.g.uptime()).Milliseconds())
 	}
-	if s.Store {
-		u.storeRollout(ctx, s)
+	if step.Store {
+		u.storeRolloutStatus(ctx, step)
 	}
-	return s.Changed
+	return step.Changed
 }
 
-// storeRollout writes the state of an order, unless another one stands there already.
-func (u *duties) storeRollout(ctx context.Context, s *promoter.Step) {
-	if u.storing.Swap(true) {
+// storeRolloutStatus stores the status of a roll-out in the background. If another write came
+// first, it applies what the store holds instead.
+func (u *duties) storeRolloutStatus(ctx context.Context, s *promoter.Step) {
+	if u.storingStatus.Swap(true) {
 		return
 	}
 	go func() {
-		defer u.storing.Store(false)
+		defer u.storingStatus.Store(false)
 		key := platform.RolloutKind + "/" + string(s.Order.Service)
 		o, err := u.g.store.PutStatus(ctx, key, s.Order.Revision, platform.RolloutStatus(&s.Order, s.Phase))
 		if errors.Is(err, object.ErrConflict) || errors.Is(err, object.ErrUnknown) {
-			// Another holder wrote it, the operator ordered anew, or the answer was lost: what
-			// stands there decides what is written next.
+			// Another holder wrote it, the operator ordered again, or the answer was lost. What the
+			// store holds decides what is written next.
 			o, err = u.g.store.Get(ctx, key)
 		}
 		if err != nil {
-			u.g.c.Logger.Warn("state of a roll-out not stored", "service", s.Order.Service, "phase", s.Phase, "error", err)
-			waiter.For(ctx, storeAgain)
+			u.g.c.Logger.Warn("roll-out status not stored", "service", s.Order.Service, "phase", s.Phase, "error", err)
+			waiter.For(ctx, statusRetryDelay)
 			return
 		}
-		u.g.take([]object.Object{o})
+		u.g.applyFromStore([]object.Object{o})
 	}()
 }
 
-// explainLacks writes down now and then what keeps versions from moving on after the time at
-// which they should.
-func (u *duties) explainLacks(in *promoter.Input) {
+// logBlockedRollouts logs, at most once in blockedLogInterval, what keeps a roll-out past its
+// deadline from advancing.
+func (u *duties) logBlockedRollouts(in *promoter.Input) {
 	for i := range in.Orders {
 		o := &in.Orders[i]
-		if o.Phase != rollout.Trying || in.Now.Before(o.LearnedAt.Add(o.Duration)) || in.Now.Sub(u.lacksTold) < lackPause {
+		if o.Phase != rollout.Trying || in.Now.Before(o.LearnedAt.Add(o.Duration)) || in.Now.Sub(u.blockedLoggedAt) < blockedLogInterval {
 			continue
 		}
-		if lacks := u.promoter.HoldReason(o, in); lacks != "" {
-			u.lacksTold = in.Now
-			u.g.c.Logger.Warn("roll-out behind its deadline", "service", o.Service, "target", o.Target, "order", orderName(o.OrderID()),
-				"late_ms", in.Now.Sub(o.LearnedAt.Add(o.Duration)).Milliseconds(), "lacks", lacks)
+		if blockers := u.promoter.HoldReason(o, in); blockers != "" {
+			u.blockedLoggedAt = in.Now
+			u.g.c.Logger.Warn("roll-out behind its deadline", "service", o.Service, "target", o.Target, "order", formatOrder(o.OrderID()),
+				"late_ms", in.Now.Sub(o.LearnedAt.Add(o.Duration)).Milliseconds(), "lacks", blockers)
 		}
 	}
 }
 
-// versions counts a service's endpoints by version.
-func (g *Gateway) versions(s identifier.Service) map[identifier.Version]int {
+// endpointsByVersion counts a service's endpoints by version.
+func (g *Gateway) endpointsByVersion(s identifier.Service) map[identifier.Version]int {
 	return g.registry.VersionCounts(identifier.Pool(s))
 }
--- a/internal/role/gateway/rollouts_test.go
+++ b/internal/role/gateway/rollouts_test.go
@@ -18,32 +18,32 @@
 	"brasschute/platform"
 )
 
-// What a bad version may get, and the times of the platform's roll-outs.
+// Bounds of what a bad version may get, and the durations of the platform's roll-outs.
 const (
-	trialShare = 0.1
-	trialSlack = 50
-	revertTime = 5 * time.Second
-	bootTime   = 4 * time.Second
-	leaveTime  = 3 * time.Second
+	canaryShare  = 0.1
+	canarySlack  = 50
+	rollbackTime = 5 * time.Second
+	bootDelay    = 4 * time.Second
+	drainPeriod  = 3 * time.Second
 	// versionEngines is the number of engines of each version.
 	versionEngines = 24
 	oldVersion     = "v1"
 	newVersion     = "v2"
 )
 
-// answer is how an engine answers one request: after a time, and with what.
-type answer struct {
-	takes time.Duration
-	how   hosting.Behaviour
+// engineAnswer is how an engine answers one request: with a behaviour, after a delay.
+type engineAnswer struct {
+	delay     time.Duration
+	behaviour hosting.Behaviour
 }
 
-// versions are model engines of several versions of one service.
-type versions struct {
+// versionFleet holds the model engines of several versions of one service.
+type versionFleet struct {
 	f    *testFleet
 	host *shaper.Host
-	// answers says how an engine answers the nth request; bad ones of the new version are
-	// counted.
-	answers func(version, path string, since time.Duration, n int) (a answer, bad bool)
+	// answers returns how an engine answers the nth request, and whether the answer counts as a
+	// bad one of the new version.
+	answers func(version, path string, since time.Duration, n int) (a engineAnswer, bad bool)
 
 	mu      sync.Mutex
 	engines map[string][]*http.Server
@@ -51,10 +51,10 @@
 	begun   time.Time
 	// arrivals are the requests that engines began to run since the order.
 	arrivals []*arrival
-	replies  []reply
+	replies  []clientReply
 	group    sync.WaitGroup
-	// after is for how long requests come after the deadline; five seconds at the least.
-	after time.Duration
+	// extraLoad is how long requests are sent after the deadline; at least five seconds.
+	extraLoad time.Duration
 }
 
 // arrival is a request at an engine; ended is when it was answered.
@@ -64,35 +64,36 @@
 	bad       bool
 }
 
-// soundAnswer is that of a sound engine: a few tenths of a second, by the route.
-func soundAnswer(path string) answer {
+// healthyAnswer returns the answer of a healthy engine, after some tenths of a second that depend
+// on the route.
+func healthyAnswer(path string) engineAnswer {
 	if strings.HasPrefix(path, resumePath) {
-		return answer{300 * time.Millisecond, hosting.Serve}
+		return engineAnswer{300 * time.Millisecond, hosting.Serve}
 	}
-	return answer{700 * time.Millisecond, hosting.Serve}
+	return engineAnswer{700 * time.Millisecond, hosting.Serve}
 }
 
-// inVersionFleet runs a check among daemons before engines whose service can be rolled out.
-func inVersionFleet(t *testing.T, daemons int, check func(v *versions)) {
+// inVersionFleet runs a check among daemons in front of engines whose service can be rolled out.
+func inVersionFleet(t *testing.T, daemons int, check func(v *versionFleet)) {
 	t.Helper()
-	inBubble(t, func(t *testing.T) {
+	inPausedTime(t, func(t *testing.T) {
 		f := newTestFleet(t)
 		defer f.end()
-		f.rate = wide
+		f.rate = wideLink
 		f.adjust = func(d *deployment.Deployment) {
 			d.Rollouts = true
-			d.Bounds.CanaryShare, d.Bounds.CanarySlack, d.Bounds.RollbackTime = trialShare, trialSlack, revertTime
+			d.Bounds.CanaryShare, d.Bounds.CanarySlack, d.Bounds.RollbackTime = canaryShare, canarySlack, rollbackTime
 		}
-		v := &versions{f: f, host: f.network.Host(storeLink), engines: make(map[string][]*http.Server)}
-		v.answers = func(_, path string, _ time.Duration, _ int) (answer, bool) { return soundAnswer(path), false }
-		f.stop = append(f.stop, func() { v.end("") })
-		f.startEngines(fatalOnly).close()
+		v := &versionFleet{f: f, host: f.network.Host(storeLink), engines: make(map[string][]*http.Server)}
+		v.answers = func(_, path string, _ time.Duration, _ int) (engineAnswer, bool) { return healthyAnswer(path), false }
+		f.stop = append(f.stop, func() { v.stopEngines("") })
+		f.startEngines(isFatal).close()
 		for i := range engineCount {
 			f.store.Remove(platform.EndpointKind, fmt.Sprintf("i-%03d", i+1))
 		}
 		v.start(oldVersion)
-		if daemons > smallFleet {
-			daemons = fleetSize(daemons)
+		if daemons > smallFleetSize {
+			daemons = scaledFleetSize(daemons)
 		}
 		f.start(daemons)
 		f.settle()
@@ -101,7 +102,7 @@
 }
 
 // start starts the engines of a version.
-func (v *versions) start(version string) {
+func (v *versionFleet) start(version string) {
 	for i := range versionEngines {
 		v.mu.Lock()
 		v.places++
@@ -116,7 +117,7 @@
 		e := hosting.NewEngine(hosting.Config{
 			ID: id, Service: modelService, Zone: fmt.Sprintf("zone-%d", i%v.f.zones), Address: address.String(), StreamLength: engineEvents, Version: version,
 		})
-		e.SetBehaviour(func(r *http.Request) hosting.Behaviour { return v.run(version, r) })
+		e.SetBehaviour(func(r *http.Request) hosting.Behaviour { return v.serveRequest(version, r) })
 		server := &http.Server{Handler: e}
 		go func() { _ = server.Serve(l) }()
 		v.mu.Lock()
@@ -126,23 +127,23 @@
 	}
 }
 
-// run notes a request at an engine and says how it is answered.
-func (v *versions) run(version string, r *http.Request) hosting.Behaviour {
+// serveRequest records a request at an engine and returns how it is answered.
+func (v *versionFleet) serveRequest(version string, r *http.Request) hosting.Behaviour {
 	v.mu.Lock()
 	now := time.Now()
 	a, bad := v.answers(version, r.URL.Path, now.Sub(v.begun), len(v.arrivals))
-	one := &arrival{at: now, version: version, bad: bad}
-	v.arrivals = append(v.arrivals, one)
+	req := &arrival{at: now, version: version, bad: bad}
+	v.arrivals = append(v.arrivals, req)
 	v.mu.Unlock()
-	time.Sleep(a.takes)
+	time.Sleep(a.delay)
 	v.mu.Lock()
-	one.ended = time.Now()
+	req.ended = time.Now()
 	v.mu.Unlock()
-	return a.how
+	return a.behaviour
 }
 
-// end ends the engines of all versions but one at once.
-func (v *versions) end(allBut string) {
+// stopEngines ends the engines of all versions but one at once.
+func (v *versionFleet) stopEngines(allBut string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for version, servers := range v.engines {
@@ -157,8 +158,8 @@
 	}
 }
 
-// drain takes the engines of a version out of the list; they go on for a while.
-func (v *versions) drain(version string) {
+// delistEngines removes the records of a version's engines, which go on for a while.
+func (v *versionFleet) delistEngines(version string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for i := range v.engines[version] {
@@ -166,29 +167,29 @@
 	}
 }
 
-// order orders the new version while requests come, so many a second in all, and returns the
-// states that were stored and when the last one was.
-func (v *versions) order(perSecond float64, d time.Duration) (states []string, took time.Duration) {
-	most := d + max(v.after, 5*time.Second)
+// rollOut orders the new version while requests are sent at a total rate. It returns the states
+// that were stored, and the time from the order to the last one.
+func (v *versionFleet) rollOut(perSecond float64, d time.Duration) (states []string, took time.Duration) {
+	length := d + max(v.extraLoad, 5*time.Second)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		v.flow(perSecond, most)
+		v.sendLoad(perSecond, length)
 	}()
 	time.Sleep(2 * time.Second)
 	v.mu.Lock()
 	v.arrivals, v.begun = nil, time.Now()
 	v.mu.Unlock()
 	states, took = hosting.NewRolloutDriver(hosting.RolloutDriverConfig{
-		Store: v.f.store, Service: modelService, BootTime: bootTime, DrainTime: leaveTime, Start: v.start, Stop: v.end, StartDrain: v.drain,
-	}).Order(newVersion, d, most-2*time.Second)
+		Store: v.f.store, Service: modelService, BootTime: bootDelay, DrainTime: drainPeriod, Start: v.start, Stop: v.stopEngines, StartDrain: v.delistEngines,
+	}).Order(newVersion, d, length-2*time.Second)
 	<-done
 	v.group.Wait()
 	return states, took
 }
 
-// flow sends requests at random daemons.
-func (v *versions) flow(perSecond float64, d time.Duration) {
+// sendLoad sends requests to random daemons.
+func (v *versionFleet) sendLoad(perSecond float64, d time.Duration) {
 	const step = 10 * time.Millisecond
 	n := 0
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(step) {
@@ -208,9 +209,9 @@
 	}
 }
 
-// exposed checks what the new version got if it was bad: until the deadline, and long after
-// its fiftieth bad answer. shown tells that it was bad.
-func (v *versions) exposed(d time.Duration) {
+// checkExposure checks how many requests a bad version got until the deadline, and that it got
+// none later than revertTime after its fiftieth bad answer.
+func (v *versionFleet) checkExposure(d time.Duration) {
 	v.f.t.Helper()
 	all, tried := 0, 0
 	var bads []time.Time
@@ -226,57 +227,57 @@
 			bads = append(bads, a.ended)
 		}
 	}
-	if most := trialShare*float64(all) + trialSlack; float64(tried) > most {
-		v.f.t.Errorf("%d of %d requests went to the new version, %.0f are the most", tried, all, most)
+	if limit := canaryShare*float64(all) + canarySlack; float64(tried) > limit {
+		v.f.t.Errorf("%d of %d requests went to the new version, want at most %.0f", tried, all, limit)
 	}
 	v.f.t.Logf("%d of %d requests went to the new version, %d bad answers", tried, all, len(bads))
-	if len(bads) < trialSlack {
+	if len(bads) < canarySlack {
 		return
 	}
 	slices.SortFunc(bads, time.Time.Compare)
 	for _, a := range v.arrivals {
-		if late := a.at.Sub(bads[trialSlack-1]); a.version == newVersion && late > revertTime {
+		if late := a.at.Sub(bads[canarySlack-1]); a.version == newVersion && late > rollbackTime {
 			v.f.t.Errorf("a request went to the new version %v after its 50th bad answer", late)
 			return
 		}
 	}
 }
 
-// unserved counts the requests that did not end as whole streams.
-func (v *versions) unserved() (n int) { return failed(v.replies) }
+// countUnserved counts the requests that did not end as complete streams.
+func (v *versionFleet) countUnserved() (n int) { return countFailed(v.replies) }
 
-// versionFleet is a size of a fleet, with the requests that come a second in all, and how long
-// the orders last that are played there.
-type versionFleet struct {
+// rolloutShape is a fleet size with the total requests per second and the durations of the
+// orders to test.
+type rolloutShape struct {
 	daemons   int
 	perSecond float64
 	orders    []time.Duration
 }
 
-// versionFleets returns the fleets that are played. Those of full size run without the race
-// detector only, under which the requests alone take minutes.
-func versionFleets() []versionFleet {
-	out := []versionFleet{{8, 200, []time.Duration{12 * time.Second}}}
+// rolloutShapes returns the fleets to test. Full-size fleets run without the race detector only,
+// under which the requests alone take minutes.
+func rolloutShapes() []rolloutShape {
+	out := []rolloutShape{{8, 200, []time.Duration{12 * time.Second}}}
 	if !raceDetector {
 		out[0].orders = append(out[0].orders, time.Minute)
-		out = append(out, versionFleet{83, 332, []time.Duration{12 * time.Second}}, versionFleet{195, 400, []time.Duration{12 * time.Second}})
+		out = append(out, rolloutShape{83, 332, []time.Duration{12 * time.Second}}, rolloutShape{195, 400, []time.Duration{12 * time.Second}})
 	}
 	return out
 }
 
-// A good version takes over a service, and no request is broken off by it: what would outlast
-// the old engines goes to the new ones, and the rest is waited for.
+// A good version takes over a service without aborting any request: requests that would outlast
+// the old engines must go to the new ones, and the others must be waited for.
 func TestGoodVersionIsRolledOut(t *testing.T) {
-	for _, shape := range versionFleets() {
+	for _, shape := range rolloutShapes() {
 		for _, d := range shape.orders {
 			t.Run(fmt.Sprint(shape.daemons, " daemons, ", d), func(t *testing.T) {
-				inVersionFleet(t, shape.daemons, func(v *versions) {
-					states, took := v.order(shape.perSecond, d)
-					t.Logf("%v, the last after %v; %d of %d unserved", states, took, v.unserved(), len(v.replies))
+				inVersionFleet(t, shape.daemons, func(v *versionFleet) {
+					states, took := v.rollOut(shape.perSecond, d)
+					t.Logf("%v, the last after %v; %d of %d unserved", states, took, v.countUnserved(), len(v.replies))
 					if !slices.Equal(states, []string{"serving", "complete"}) {
 						t.Errorf("states %v", states)
 					}
-					if n := v.unserved(); n > 0 {
+					if n := v.countUnserved(); n > 0 {
 						t.Errorf("%d of %d requests were not served", n, len(v.replies))
 					}
 				})
@@ -285,60 +286,60 @@
 	}
 }
 
-// badVersions are versions that are bad in some way.
+// badVersions are versions with different defects.
 var badVersions = []struct {
 	name    string
-	answers func(path string, since time.Duration, n int) (answer, bool)
+	answers func(path string, since time.Duration, n int) (engineAnswer, bool)
 }{
-	{"failures at once", func(path string, _ time.Duration, n int) (answer, bool) {
-		a := soundAnswer(path)
+	{"failures at once", func(path string, _ time.Duration, n int) (engineAnswer, bool) {
+		a := healthyAnswer(path)
 		if n%5 < 2 {
-			return answer{a.takes, hosting.Fail}, true
+			return engineAnswer{a.delay, hosting.Fail}, true
 		}
 		return a, false
 	}},
-	{"slow at once", func(path string, _ time.Duration, _ int) (answer, bool) {
-		a := soundAnswer(path)
-		return answer{6 * a.takes, hosting.Serve}, true
+	{"slow at once", func(path string, _ time.Duration, _ int) (engineAnswer, bool) {
+		a := healthyAnswer(path)
+		return engineAnswer{6 * a.delay, hosting.Serve}, true
 	}},
-	{"failures later", func(path string, since time.Duration, _ int) (answer, bool) {
-		a := soundAnswer(path)
+	{"failures later", func(path string, since time.Duration, _ int) (engineAnswer, bool) {
+		a := healthyAnswer(path)
 		if since > 8*time.Second {
-			return answer{a.takes, hosting.Fail}, true
+			return engineAnswer{a.delay, hosting.Fail}, true
 		}
 		return a, false
 	}},
-	{"failures on one route", func(path string, _ time.Duration, _ int) (answer, bool) {
-		a := soundAnswer(path)
+	{"failures on one route", func(path string, _ time.Duration, _ int) (engineAnswer, bool) {
+		a := healthyAnswer(path)
 		if strings.HasPrefix(path, resumePath) {
-			return answer{a.takes, hosting.Fail}, true
+			return engineAnswer{a.delay, hosting.Fail}, true
 		}
 		return a, false
 	}},
 }
 
-// A bad version is reverted before it has had more than its share of the requests, and gets
-// nothing afterwards, though its engines are still listed.
+// A bad version must be reverted before it has had more than its share of the requests, and must
+// get none afterwards, though its engines are still listed.
 func TestBadVersionIsReverted(t *testing.T) {
-	for _, shape := range versionFleets()[:min(2, len(versionFleets()))] {
+	for _, shape := range rolloutShapes()[:min(2, len(rolloutShapes()))] {
 		for _, bad := range badVersions {
 			t.Run(fmt.Sprint(shape.daemons, " daemons, ", bad.name), func(t *testing.T) {
-				inVersionFleet(t, shape.daemons, func(v *versions) { v.reverted(shape.perSecond, bad.answers, nil) })
+				inVersionFleet(t, shape.daemons, func(v *versionFleet) { v.checkReverted(shape.perSecond, bad.answers, nil) })
 			})
 		}
 	}
 }
 
-// reverted orders a bad version, with a disturbance after the order, and checks that it is
-// reverted in time.
-func (v *versions) reverted(perSecond float64, bad func(string, time.Duration, int) (answer, bool), disturb func()) {
+// checkReverted orders a bad version, disturbs the fleet after the order, and checks that the
+// version is reverted in time.
+func (v *versionFleet) checkReverted(perSecond float64, bad func(string, time.Duration, int) (engineAnswer, bool), disturb func()) {
 	v.f.t.Helper()
 	const d = 16 * time.Second
-	v.answers = func(version, path string, since time.Duration, n int) (answer, bool) {
+	v.answers = func(version, path string, since time.Duration, n int) (engineAnswer, bool) {
 		if version == newVersion {
 			return bad(path, since, n)
 		}
-		return soundAnswer(path), false
+		return healthyAnswer(path), false
 	}
 	if disturb != nil {
 		go func() {
@@ -346,16 +347,16 @@
 			disturb()
 		}()
 	}
-	states, took := v.order(perSecond, d)
-	v.f.t.Logf("%v, the last after %v; %d of %d unserved", states, took, v.unserved(), len(v.replies))
-	v.exposed(d)
+	states, took := v.rollOut(perSecond, d)
+	v.f.t.Logf("%v, the last after %v; %d of %d unserved", states, took, v.countUnserved(), len(v.replies))
+	v.checkExposure(d)
 	if !slices.Equal(states, []string{"serving", "reverted"}) {
 		v.f.t.Errorf("states %v", states)
 	}
 }
 
-// holder is the daemon that holds the duties.
-func (f *testFleet) holder() int {
+// leaseHolder returns the index of the daemon that holds the lease, -1 if none does.
+func (f *testFleet) leaseHolder() int {
 	for i, g := range f.daemons {
 		if _, held := g.lease.Held(); held {
 			return i
@@ -364,28 +365,28 @@
 	return -1
 }
 
-// The holder of the duties is cut off in the middle of a trial of a version that fails, and
-// with it all that is known of the answers: nobody says to go on, so nothing more is sent to
-// the version until the next holder has heard the tallies, and reverts it.
+// The lease holder is isolated in the middle of the trial of a failing version, and with it
+// everything known about the answers. Nobody grants the roll-out any more, so no further request
+// may go to the version until the next holder has received the tallies and reverts it.
 func TestVersionWithoutAHolderIsNotTried(t *testing.T) {
-	for _, shape := range versionFleets()[:min(2, len(versionFleets()))] {
+	for _, shape := range rolloutShapes()[:min(2, len(rolloutShapes()))] {
 		t.Run(fmt.Sprint(shape.daemons), func(t *testing.T) {
-			inVersionFleet(t, shape.daemons, func(v *versions) {
-				v.reverted(200, badVersions[0].answers, func() {
-					time.Sleep(bootTime + 300*time.Millisecond)
-					v.f.networks[v.f.holder()].cut.Store(true)
+			inVersionFleet(t, shape.daemons, func(v *versionFleet) {
+				v.checkReverted(200, badVersions[0].answers, func() {
+					time.Sleep(bootDelay + 300*time.Millisecond)
+					v.f.networks[v.f.leaseHolder()].isolated.Store(true)
 				})
 			})
 		})
 	}
 }
 
-// The store turns all daemons away from the moment at which a version shows that it is bad:
-// the state can't be stored, but no daemon sends it anything any more.
+// The store refuses all daemons from the moment at which a version proves to be bad. The status
+// cannot be stored, but no daemon may send the version anything any more.
 func TestVersionIsLeftWhileTheStoreIsAway(t *testing.T) {
-	inVersionFleet(t, 8, func(v *versions) {
-		v.reverted(200, badVersions[0].answers, func() {
-			time.Sleep(bootTime + 300*time.Millisecond)
+	inVersionFleet(t, 8, func(v *versionFleet) {
+		v.checkReverted(200, badVersions[0].answers, func() {
+			time.Sleep(bootDelay + 300*time.Millisecond)
 			v.f.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Unavailable })
 			time.Sleep(4 * time.Second)
 			v.f.store.SetFault(nil)
@@ -393,27 +394,27 @@
 	})
 }
 
-// A fifth of the old engines' answers fail while a sound version is tried: that is no reason to
-// revert the sound one, though more of its answers are needed to tell.
+// A fifth of the old engines' answers fail while a healthy version is tried. That must not revert
+// the healthy version, though more of its answers are needed to decide.
 func TestSoundVersionAmongFailingEngines(t *testing.T) {
-	inVersionFleet(t, 8, func(v *versions) {
-		v.answers = func(version, path string, _ time.Duration, n int) (answer, bool) {
-			a := soundAnswer(path)
+	inVersionFleet(t, 8, func(v *versionFleet) {
+		v.answers = func(version, path string, _ time.Duration, n int) (engineAnswer, bool) {
+			a := healthyAnswer(path)
 			if version == oldVersion && n%5 < 1 {
-				a.how = hosting.Fail
+				a.behaviour = hosting.Fail
 			}
 			return a, false
 		}
-		if states, took := v.order(200, 20*time.Second); !slices.Equal(states, []string{"serving", "complete"}) {
+		if states, took := v.rollOut(200, 20*time.Second); !slices.Equal(states, []string{"serving", "complete"}) {
 			t.Errorf("states %v, the last after %v", states, took)
 		}
 	})
 }
 
-// A process starts after a version was reverted, while its engines are still listed and
-// healthy: it reads so from the store, or hears it, and sends them nothing.
+// A process starts after a version was reverted, while the version's engines are still listed
+// and healthy. It must learn of the revert from the store or a peer, and send them nothing.
 func TestNewProcessLeavesARevertedVersion(t *testing.T) {
-	inVersionFleet(t, 8, func(v *versions) {
+	inVersionFleet(t, 8, func(v *versionFleet) {
 		v.f.store.Write(platform.RolloutKind, modelService, map[string]any{"Service": modelService, "Target": newVersion, "DurationS": 12})
 		v.start(newVersion)
 		time.Sleep(2 * time.Second)
@@ -438,45 +439,45 @@
 	})
 }
 
-// A version fails while its fleet has troubles of its own: an availability zone is cut off; all
-// daemons that know of the order are lost in the middle, and others come that do not; the store
-// answers nobody from before the order's first state on.
+// A version fails while its fleet has other faults: the daemons of an availability zone are isolated; all
+// daemons that know of the order are lost in the middle and replaced by others that do not; the
+// store answers nobody from before the order's first state on.
 func TestBadVersionBesideOtherTroubles(t *testing.T) {
 	for _, trouble := range []struct {
 		name    string
 		daemons int
-		prepare func(v *versions)
-		disturb func(v *versions)
+		prepare func(v *versionFleet)
+		disturb func(v *versionFleet)
 	}{
-		{"a zone is cut off", 8, func(*versions) {}, func(v *versions) {
-			time.Sleep(bootTime + 200*time.Millisecond)
-			v.cut(func(i int) bool { return i%v.f.zones == 1 })
+		{"a zone is cut off", 8, func(*versionFleet) {}, func(v *versionFleet) {
+			time.Sleep(bootDelay + 200*time.Millisecond)
+			v.isolate(func(i int) bool { return i%v.f.zones == 1 })
 		}},
-		{"all are lost", 16, func(v *versions) {
-			v.cut(func(i int) bool { return i >= 8 })
-			v.after = 20 * time.Second
-		}, func(v *versions) {
-			time.Sleep(bootTime + 300*time.Millisecond)
-			v.cut(func(i int) bool { return i < 8 })
+		{"all are lost", 16, func(v *versionFleet) {
+			v.isolate(func(i int) bool { return i >= 8 })
+			v.extraLoad = 20 * time.Second
+		}, func(v *versionFleet) {
+			time.Sleep(bootDelay + 300*time.Millisecond)
+			v.isolate(func(i int) bool { return i < 8 })
 		}},
-		{"the store is away", 8, func(*versions) {}, func(v *versions) {
+		{"the store is away", 8, func(*versionFleet) {}, func(v *versionFleet) {
 			v.f.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Unavailable })
 			time.Sleep(3 * time.Second)
 			v.f.store.SetFault(nil)
 		}},
 	} {
 		t.Run(trouble.name, func(t *testing.T) {
-			inVersionFleet(t, trouble.daemons, func(v *versions) {
+			inVersionFleet(t, trouble.daemons, func(v *versionFleet) {
 				trouble.prepare(v)
-				v.reverted(200, badVersions[0].answers, func() { trouble.disturb(v) })
+				v.checkReverted(200, badVersions[0].answers, func() { trouble.disturb(v) })
 			})
 		})
 	}
 }
 
-// cut cuts off the daemons that are named, and no others.
-func (v *versions) cut(which func(i int) bool) {
+// isolate isolates the selected daemons and no others.
+func (v *versionFleet) isolate(which func(i int) bool) {
 	for i := range v.f.networks {
-		v.f.networks[i].cut.Store(which(i))
+		v.f.networks[i].isolated.Store(which(i))
 	}
 }
--- a/internal/role/gateway/sums.go
+++ b/internal/role/gateway/sums.go
@@ -8,80 +8,82 @@
 	"brasschute/internal/peer/aggregator"
 	"brasschute/internal/peer/rpc"
 	"brasschute/internal/peer/syncer"
-	"brasschute/internal/route/quotalimiter"
 	"brasschute/internal/route/estimator"
+	"brasschute/internal/route/quotalimiter"
 )
 
-// ownAge is how old this daemon's own part of a digest may be in a large fleet, where a
-// relay tells it a hundred times a second.
-const ownAge = 100 * time.Millisecond
+// digestMaxAge is how old this daemon's cached digest may be in a large fleet, where a relay
+// sends it a hundred times a second.
+const digestMaxAge = 100 * time.Millisecond
 
-// part is the way in which a daemon hears of the others.
-type part int
+// gossipRole is the way in which a daemon exchanges digests with the others.
+type gossipRole int
 
 const (
-	// partPair: all pairs of a small fleet swap. partMember: relays of the zone tell the
-	// sum of all others. partRelay: the daemons of the zone tell themselves, and relays of
-	// the other zones tell the sums of those.
-	partPair part = iota
-	partMember
-	partRelay
+	// rolePair: in a small fleet every pair of daemons exchanges digests.
+	rolePair gossipRole = iota
+	// roleMember: the relays of the zone send the sum of all other daemons.
+	roleMember
+	// roleRelay: the daemons of the zone send their own digests, and the relays of other zones
+	// send the sums of those zones.
+	roleRelay
 )
 
-// String is for logs.
-func (p part) String() string { return [...]string{"pair", "member", "relay"}[p] }
+// String returns the role's name in logs and views.
+func (r gossipRole) String() string { return [...]string{"pair", "member", "relay"}[r] }
 
-// large tells whether the fleet is too large for all pairs to swap. The size only rises, as
-// it is told and kept in the store, so a fleet does not change back when most of it ends.
-func (g *Gateway) large() bool { return g.fleetSize() > smallFleet }
+// isLarge reports whether the fleet is too large for all pairs to exchange digests. The size
+// never shrinks, as peers report it and the store keeps it, so a fleet does not switch back when
+// most of its daemons end.
+func (g *Gateway) isLarge() bool { return g.fleetSize() > smallFleetSize }
 
-// relaying tells whether this daemon relays: by its name, or as it holds the duties, for
-// which it needs to hear all zones.
-func (g *Gateway) relaying() bool {
+// isRelay reports whether this daemon is a relay: because the rank of its name selects it, or
+// because it holds the lease, which requires updates from all zones.
+func (g *Gateway) isRelay() bool {
 	return g.lease != nil && g.lease.Confirmed() || g.roster.IsRelay(time.Now())
 }
 
-// part tells how this daemon hears of the others now.
-func (g *Gateway) part() part {
+// gossipRole returns this daemon's current role.
+func (g *Gateway) gossipRole() gossipRole {
 	switch {
-	case !g.large():
-		return partPair
-	case g.relaying():
-		return partRelay
+	case !g.isLarge():
+		return rolePair
+	case g.isRelay():
+		return roleRelay
 	}
-	return partMember
+	return roleMember
 }
 
-// account takes in what a digest tells of quotas.
-func (g *Gateway) account(d *rpc.Digest) {
+// mergeQuotas merges the quota charges in a peer's digest.
+func (g *Gateway) mergeQuotas(d *rpc.Digest) {
 	now := time.Now()
-	g.partMu.Lock()
-	defer g.partMu.Unlock()
-	g.toldSize.Store(max(g.toldSize.Load(), int64(g.daemons())))
-	p := g.part()
-	if p != g.lastPart {
-		g.c.Logger.Info("part in the fleet", "part", p, "before", g.lastPart, "daemons", g.daemons())
-		g.lastPart = p
+	g.roleMu.Lock()
+	defer g.roleMu.Unlock()
+	g.reportedFleetSize.Store(max(g.reportedFleetSize.Load(), int64(g.knownDaemons())))
+	role := g.gossipRole()
+	if role != g.lastRole {
+		g.c.Logger.Info("gossip role changed", "part", role, "before", g.lastRole, "daemons", g.knownDaemons())
+		g.lastRole = role
 		g.aggregator.Rebase()
-		g.allotter.Regroup()
+		g.quotaLimiter.Regroup()
 	}
-	u, news := g.aggregator.Merge(d, p == partRelay, now)
+	u, changed := g.aggregator.Merge(d, role == roleRelay, now)
 	if n := g.aggregator.TakeRejected(); n > 0 {
 		g.scope.Counter("sums_refused").Inc(int64(n))
-		if due(&g.refusedTold) {
-			g.c.Logger.Warn("parts of a peer's sums left out", "peer", d.GetHost(), "items", n)
+		if logDue(&g.refusedSumsLoggedAt) {
+			g.c.Logger.Warn("parts of a peer's sums rejected", "peer", d.GetHost(), "items", n)
 		}
 	}
 	switch {
-	case p == partPair:
-		g.allotter.Merge(pairNews(d))
-	case news:
-		g.allotter.Merge(groupNews(u))
+	case role == rolePair:
+		g.quotaLimiter.Merge(quotasOfDaemon(d))
+	case changed:
+		g.quotaLimiter.Merge(quotasOfGroup(u))
 	}
 }
 
-// pairNews is what a daemon tells of itself.
-func pairNews(d *rpc.Digest) quotalimiter.Update {
+// quotasOfDaemon returns a daemon's own charges in its digest.
+func quotasOfDaemon(d *rpc.Digest) quotalimiter.Update {
 	accounts := make(map[identifier.Organisation]quotalimiter.Account, len(d.GetCharges()))
 	for _, c := range d.GetCharges() {
 		accounts[identifier.Organisation(c.GetOrganisation())] = quotalimiter.Account{
@@ -93,7 +95,8 @@
 	}
 }
 
-func groupNews(u aggregator.Update) quotalimiter.Update {
+// quotasOfGroup returns the summed charges of a group of daemons.
+func quotasOfGroup(u aggregator.Update) quotalimiter.Update {
 	accounts := make(map[identifier.Organisation]quotalimiter.Account, len(u.Accounts))
 	for o, a := range u.Accounts {
 		accounts[o] = quotalimiter.Account{Total: a.Total, Level: a.Level, NoLevel: a.NoLevel, Asked: a.RequestRate}
@@ -101,11 +104,11 @@
 	return quotalimiter.Update{Host: u.Name, Incarnation: u.Incarnation, Age: u.Age, Daemons: u.Daemons, Silent: u.Silent, Accounts: accounts}
 }
 
-// digestFor is the digest for one daemon: in a large fleet a relay adds the sums that this
-// one needs, and whom it hears.
+// digestFor returns the digest for one daemon. In a large fleet a relay adds the sums that the
+// receiver needs, and the daemons it hears from.
 func (g *Gateway) digestFor(to syncer.Receiver) *rpc.Digest {
-	if !g.large() {
-		d := g.digest()
+	if !g.isLarge() {
+		d := g.newDigest()
 		g.aggregator.ApplyOwn(d, time.Now())
 		return d
 	}
@@ -116,7 +119,7 @@
 		UnixMilli: g.clock.Now().UnixMilli(), AgeMilli: time.Since(g.started).Milliseconds(), Stopping: own.Stopping,
 		ConfigurationNumber: own.ConfigurationNumber, HoldsDuties: own.HoldsDuties, Fleet: own.Fleet, EndpointsRevision: own.EndpointsRevision,
 		Observing: own.Observing, Relaying: own.Relaying, Leaving: own.Leaving, Departures: own.Departures, Speeds: own.Speeds,
-		Suspects: own.Suspects, Rollouts: g.rolloutNews(), OrdersKnown: own.OrdersKnown, Limits: own.Limits, Rests: own.Rests,
+		Suspects: own.Suspects, Rollouts: g.encodeRollouts(), OrdersKnown: own.OrdersKnown, Limits: own.Limits, Rests: own.Rests,
 	}
 	near := to.Zone == "" || to.Zone == g.c.Deployment.AvailabilityZone
 	if near || to.FullMesh {
@@ -124,7 +127,7 @@
 		out.Trials = own.Trials
 	}
 	out.RosterKnown = g.roster.KnownHashes(to.Address)
-	for _, zone := range g.roster.ZoneRosters(g.named(own, near), own.Relaying, g.member(own), now) {
+	for _, zone := range g.roster.ZoneRosters(g.rosterZones(own, near), own.Relaying, g.rosterMember(own), now) {
 		out.RosterHashes = append(out.RosterHashes, zone.GetHash())
 		if !slices.Contains(to.KnownRosterHashes, zone.GetHash()) {
 			out.Roster = append(out.Roster, zone)
@@ -135,76 +138,77 @@
 	}
 	switch {
 	case to.Host == "":
-		// Which sum it needs is not known.
+		// Which sum the receiver needs is unknown.
 	case !near:
 		out.Summary = g.aggregator.ZoneSum(now)
 	case !to.Relaying:
 		out.Summary = g.aggregator.FleetSumExcept(to.Host, now)
-		out.Summary.Speeds = g.speeds(now)
+		out.Summary.Speeds = g.encodeSpeeds(now)
 	}
 	if to.HoldsDuties {
-		out.Counted = g.counted(own)
+		out.Counted = g.zoneCounts(own)
 	}
 	return out
 }
 
-// named are the zones whose daemons are named to a receiver, none for all. Relays tell each
-// other of their own only.
-func (g *Gateway) named(own *rpc.Digest, near bool) []identifier.AvailabilityZone {
+// rosterZones returns the zones whose daemons are listed for a receiver; nil means all. Relays
+// list only the daemons of their own zone to each other.
+func (g *Gateway) rosterZones(own *rpc.Digest, near bool) []identifier.AvailabilityZone {
 	if own.Relaying && !near {
 		return []identifier.AvailabilityZone{g.c.Deployment.AvailabilityZone}
 	}
 	return nil
 }
 
-// member names this daemon in a roster.
-func (g *Gateway) member(own *rpc.Digest) *rpc.Member {
+// rosterMember returns this daemon's entry in a roster.
+func (g *Gateway) rosterMember(own *rpc.Digest) *rpc.Member {
 	return &rpc.Member{
 		Host: own.Host, PeerAddress: own.Address, Observing: own.Observing, Stopping: own.Stopping, Relaying: own.Relaying,
 	}
 }
 
-// ownDigest is what this daemon tells of itself, as of a moment ago.
+// ownDigest returns this daemon's digest, at most digestMaxAge old.
 func (g *Gateway) ownDigest(now time.Time) *rpc.Digest {
-	g.ownMu.Lock()
-	defer g.ownMu.Unlock()
-	if g.own == nil || now.Sub(g.ownAt) >= ownAge {
-		g.own, g.ownAt = g.digest(), now
-		g.aggregator.ApplyOwn(g.own, now)
+	g.digestMu.Lock()
+	defer g.digestMu.Unlock()
+	if g.cachedDigest == nil || now.Sub(g.digestBuiltAt) >= digestMaxAge {
+		g.cachedDigest, g.digestBuiltAt = g.newDigest(), now
+		g.aggregator.ApplyOwn(g.cachedDigest, now)
 	}
-	return g.own
+	return g.cachedDigest
 }
 
-// speeds are what a relay takes engines to read, for the daemons of its zone.
-func (g *Gateway) speeds(now time.Time) []*rpc.EngineSpeed {
+// encodeSpeeds returns a relay's estimates of the engines' prefill speeds, for the daemons of
+// its zone.
+func (g *Gateway) encodeSpeeds(now time.Time) []*rpc.EngineSpeed {
 	var out []*rpc.EngineSpeed
 	for name := range g.estimator.Local() {
-		out = append(out, engineSpeed(name, g.estimator.Estimate(name, now)))
+		out = append(out, encodeSpeed(name, g.estimator.Estimate(name, now)))
 	}
 	return out
 }
 
-// engineSpeed is an estimate as it is told.
-func engineSpeed(name identifier.Service, e estimator.Estimate) *rpc.EngineSpeed {
+// encodeSpeed encodes an estimate for peers.
+func encodeSpeed(name identifier.Service, e estimator.Estimate) *rpc.EngineSpeed {
 	return &rpc.EngineSpeed{
 		Service: string(name), TokensPerSecond: float64(e.Speed), Answers: uint32(e.Samples), FixedMicro: e.FixedLatency.Microseconds(),
 	}
 }
 
-// counted is what each daemon of the zone counted, those that ended since included.
-func (g *Gateway) counted(own *rpc.Digest) []*rpc.Digest {
+// zoneCounts returns the counts of each daemon of the zone, including daemons that have ended.
+func (g *Gateway) zoneCounts(own *rpc.Digest) []*rpc.Digest {
 	var out []*rpc.Digest
 	for _, e := range g.gatherer.Entries(time.Now()) {
 		d := e.Digest
 		if d.GetAvailabilityZone() == string(g.c.Deployment.AvailabilityZone) && len(d.GetCounts())+len(d.GetTrials()) > 0 {
-			out = append(out, counted(d))
+			out = append(out, countsOf(d))
 		}
 	}
-	return append(out, counted(own))
+	return append(out, countsOf(own))
 }
 
-// counted is the part of a digest that says what the daemon counted.
-func counted(d *rpc.Digest) *rpc.Digest {
+// countsOf returns the part of a digest with the daemon's counts.
+func countsOf(d *rpc.Digest) *rpc.Digest {
 	return &rpc.Digest{
 		Host: d.GetHost(), Incarnation: d.GetIncarnation(), Sequence: d.GetSequence(), Counts: d.GetCounts(), Trials: d.GetTrials(),
 	}
