--- /dev/null
+++ b/internal/role/gateway/gossip.go
@@ -0,0 +1,346 @@
+package gateway
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"brasschute/internal/core/identifier"
+	"brasschute/internal/core/waiter"
+	"brasschute/internal/core/watchdog"
+	"brasschute/internal/peer/fetcher"
+	"brasschute/internal/peer/rpc"
+	"brasschute/internal/peer/supplier"
+	"brasschute/internal/peer/syncer"
+	"brasschute/internal/peer/throttler"
+	"brasschute/internal/platform/object"
+	"brasschute/internal/route/candidate"
+	"brasschute/internal/route/estimator"
+	"brasschute/platform"
+
+	"github.com/thejerf/suture/v4"
+)
+
+const (
+	// bootstrapInterval is how often a daemon without a configuration or endpoints asks peers.
+	bootstrapInterval = 300 * time.Millisecond
+	// maxAskedPeers is how many peers are asked, within askTimeout, whether objects missing from
+	// a list were deleted. More than one, because one may lag.
+	maxAskedPeers = 2
+	askTimeout    = time.Second
+	// loadInterval is how often the peers' loads are summed: several times in a period of the
+	// digests. A load older than maxLoadAge is ignored.
+	loadInterval = 250 * time.Millisecond
+	maxLoadAge   = 4 * time.Second
+	// peerStallTimeout ends a call to a peer that receives no bytes: a paused process keeps its
+	// connections open.
+	peerStallTimeout = time.Second
+	// peerIdleTimeout keeps connections between peers open over several digest periods.
+	peerIdleTimeout = 30 * time.Second
+)
+
+func (g *Gateway) buildPeers() {
+	d := g.c.Deployment
+	transport := &http.Transport{
+		DialContext: g.peerBytes.Dial(g.c.Network.DialContext), IdleConnTimeout: peerIdleTimeout, DisableCompression: true,
+	}
+	g.syncer = syncer.New(syncer.Config{
+		Host: d.Host, Zone: d.AvailabilityZone, Address: d.Peers.String(), Gatherer: &g.gatherer, Logger: g.c.Logger,
+		Roster: g.roster, Relaying: g.isRelay, LargeFleet: g.isLarge,
+		BuildDigest: g.digestFor, OnDigest: g.mergeDigest, BuildNote: g.newNote, OnNote: g.mergeNote, Client: &http.Client{Transport: transport},
+	})
+	throttle := throttler.New(throttler.Config{BytesPerSecond: d.LinkBytesPerSecond})
+	g.supplier = supplier.New(supplier.Config{
+		Address: d.Peers.String(), Objects: &g.mirror, Kinds: []string{platform.CatalogKind, platform.EndpointKind, platform.RolloutKind}, Throttler: throttle,
+		Client: watchdog.New(watchdog.Config{Transport: transport, IdleTimeout: peerStallTimeout}), Logger: g.c.Logger,
+	})
+	g.peerHandler = throttle.Handler(rpc.NewFleetServer(fleetServer{g.syncer, g.supplier}))
+	for _, seed := range d.Seeds {
+		g.roster.Add(seed.String())
+	}
+	config := fetcher.Config{RequestSnapshot: g.supplier.RequestSnapshot, OtherPeers: g.syncer.LiveAddresses, Apply: g.applySnapshot, Logger: g.c.Logger}
+	config.Kind, config.SinceRevision, config.KnownRevision = platform.CatalogKind, func() uint64 { return 0 }, g.configurationNumber
+	g.catalogFetcher = fetcher.New(config)
+	config.Kind, config.SinceRevision = platform.EndpointKind, g.endpointsRevision
+	config.KnownRevision = config.SinceRevision
+	g.endpointFetcher = fetcher.New(config)
+	config.Kind, config.SinceRevision = platform.RolloutKind, g.rolloutsRevision
+	config.KnownRevision = config.SinceRevision
+	g.rolloutFetcher = fetcher.New(config)
+	g.tree.Add(g.syncer)
+	g.tree.Add(serviceFunc(g.bootstrapFromPeers))
+	g.tree.Add(serviceFunc(g.runLoads))
+}
+
+// fleetServer serves peers' calls.
+type fleetServer struct {
+	*syncer.Syncer
+	*supplier.Supplier
+}
+
+// endpointsRevision returns the revision up to which the list of endpoints is known.
+func (g *Gateway) endpointsRevision() uint64 { return g.mirror.Revision(platform.EndpointKind) }
+
+// newDigest returns a digest of this daemon's state, for peers.
+func (g *Gateway) newDigest() *rpc.Digest {
+	d := g.c.Deployment
+	out := &rpc.Digest{
+		Host: string(d.Host), AvailabilityZone: string(d.AvailabilityZone), Address: d.Peers.String(),
+		Incarnation: uint64(g.started.UnixNano()), Sequence: g.sequence.Add(1), UnixMilli: g.clock.Now().UnixMilli(),
+		AgeMilli: time.Since(g.started).Milliseconds(),
+		Stopping: g.stopping.Load(),
+	}
+	out.ConfigurationNumber = g.configurationNumber()
+	for _, n := range g.usageCounter.Counts() {
+		out.Counts = append(out.Counts, &rpc.WindowCount{Window: n.Window, Organisation: string(n.Organisation), Count: uint32(n.Requests)})
+	}
+	for name, account := range g.quotaLimiter.Accounts() {
+		out.Charges = append(out.Charges, &rpc.Charge{Organisation: string(name), Total: account.Total, Level: &account.Level, AskedPerSecond: account.Asked})
+	}
+	for name, n := range g.demandMeter.Demands() {
+		out.Demands = append(out.Demands, &rpc.Demand{
+			Service: string(name), Running: uint32(max(n.Running, 0)), RequestsPerSecond: n.Requests,
+			TokensPerSecond: n.Tokens, RefusedPerSecond: n.Refused,
+		})
+	}
+	for name, s := range g.estimator.Local() {
+		out.Speeds = append(out.Speeds, encodeSpeed(name, s))
+	}
+	for _, l := range g.registry.Loads(time.Now()) {
+		out.Loads = append(out.Loads, &rpc.EndpointLoad{Endpoint: string(l.Endpoint), Born: int64(l.Born), TokensPerSecond: l.TokensPerSecond, Running: uint32(l.Running), UnreadTokens: l.PendingPrefill})
+	}
+	if g.lease != nil {
+		out.HoldsDuties = g.lease.Confirmed()
+	}
+	out.Fleet = uint32(g.knownDaemons())
+	out.EndpointsRevision = g.endpointsRevision()
+	out.Observing = g.reachesStore()
+	out.Relaying = g.isLarge() && g.isRelay()
+	out.Leaving, out.Departures = g.leavingEndpoints()
+	out.Suspects = g.quarantine.RPCSuspects()
+	out.Rollouts, out.Trials, out.OrdersKnown = g.encodeRollouts(), g.encodeTrials(), g.splitter.OrdersKnown()
+	out.Limits, out.Rests = g.encodeLimits(), g.encodeBackoffs()
+	if !g.isLarge() {
+		out.Peers = g.syncer.LiveAddresses()
+	}
+	return out
+}
+
+// mergeDigest merges a peer's digest.
+func (g *Gateway) mergeDigest(d *rpc.Digest) {
+	host := identifier.Host(d.GetHost())
+	g.reportedFleetSize.Store(max(g.reportedFleetSize.Load(), int64(d.GetFleet())))
+	g.mergeQuotas(d)
+	g.quarantine.MergeSuspects(d.GetSuspects())
+	g.pacer.Merge(decodeLimits(d.GetLimits()))
+	g.mergeBackoffs(d.GetRests())
+	g.mergeRollouts(d.GetRollouts(), d.GetHost(), d.GetAddress())
+	if d.GetOrdersKnown() && len(d.GetRollouts()) == 0 {
+		g.splitter.ApplyOrders(nil, d.GetHost())
+	}
+	for _, part := range d.GetCounted() {
+		g.relayedDigests.Merge(part, time.Now())
+	}
+	speeds := d.GetSpeeds()
+	if relayed := d.GetSummary().GetSpeeds(); len(relayed) > 0 && !g.isRelay() {
+		speeds = relayed
+	}
+	for _, s := range speeds {
+		g.estimator.Merge(host, identifier.Service(s.GetService()), estimator.Estimate{
+			Speed: estimator.Speed(s.GetTokensPerSecond()), Samples: int(s.GetAnswers()), FixedLatency: time.Duration(s.GetFixedMicro()) * time.Microsecond,
+		}, time.Now())
+	}
+	g.catchUp(d)
+	g.noteHolder(d.GetHoldsDuties())
+	g.clock.Observe(host, time.UnixMilli(d.GetUnixMilli()))
+}
+
+// noteHolder records the time at which a peer reports that it holds the lease.
+func (g *Gateway) noteHolder(holds bool) {
+	if holds {
+		g.holderSeenAt.Store(time.Now().UnixNano())
+	}
+}
+
+// runLoads updates the registry with the load that the other daemons put on each endpoint.
+func (g *Gateway) runLoads(ctx context.Context) error {
+	return waiter.Every(ctx, loadInterval, func(context.Context) {
+		sent := make(map[identifier.Endpoint]candidate.SentLoad)
+		for _, l := range g.peerLoads(time.Now()) {
+			endpoint := identifier.Endpoint(l.GetEndpoint())
+			if _, present := g.registrar.Current(endpoint, identifier.StartTime(l.GetBorn())); !present {
+				// The load was sent to an earlier incarnation of the endpoint.
+				continue
+			}
+			sum := sent[endpoint]
+			sum.TokensPerSecond += l.GetTokensPerSecond()
+			sum.Running += int(l.GetRunning())
+			sum.PendingPrefill += l.GetUnreadTokens()
+			sent[endpoint] = sum
+		}
+		g.registry.SetPeerLoads(sent)
+	})
+}
+
+// peerLoads returns the loads of the other daemons, from their digests or from a relay's sum.
+func (g *Gateway) peerLoads(now time.Time) []*rpc.EndpointLoad {
+	if g.isLarge() {
+		return g.aggregator.Others(g.isRelay(), now).GetLoads()
+	}
+	var out []*rpc.EndpointLoad
+	for _, e := range g.gatherer.Latest(now) {
+		if now.Sub(e.ReceivedAt) <= maxLoadAge {
+			out = append(out, e.Digest.GetLoads()...)
+		}
+	}
+	return out
+}
+
+// peerDemands returns the demands of the other daemons' clients.
+func (g *Gateway) peerDemands(now time.Time) []*rpc.Demand {
+	if g.isLarge() {
+		return g.aggregator.Others(g.isRelay(), now).GetDemands()
+	}
+	var out []*rpc.Demand
+	for _, e := range g.gatherer.Latest(now) {
+		out = append(out, e.Digest.GetDemands()...)
+	}
+	return out
+}
+
+// catchUp applies departures that a peer knows, and fetches its configuration and endpoints if
+// they are newer than this daemon's. The store may refuse some daemons or be unreachable for
+// them while it serves others, and in a large fleet only a few daemons watch it.
+func (g *Gateway) catchUp(d *rpc.Digest) {
+	g.markLeaving(d)
+	g.versioner.ObserveNumber(identifier.ConfigurationNumber(d.GetConfigurationNumber()))
+	if c := g.versioner.Current(); c != nil && uint64(c.Number()) < d.GetConfigurationNumber() {
+		g.catalogFetcher.Want(d.GetAddress(), d.GetConfigurationNumber())
+	}
+	if known := g.endpointsRevision(); known > 0 && known < d.GetEndpointsRevision() {
+		g.endpointFetcher.Want(d.GetAddress(), d.GetEndpointsRevision())
+	}
+}
+
+// markLeaving marks the endpoints that a peer knows to be leaving. A mark applies to the
+// incarnation that the peer means, not to one started since under the same id. A peer of the
+// previous version does not distinguish incarnations.
+func (g *Gateway) markLeaving(d *rpc.Digest) {
+	mark := func(id string, incarnation identifier.Incarnation, known bool) {
+		if known && g.registry.MarkLeaving(identifier.Host(id), incarnation, time.Time{}) {
+			g.c.Logger.Info("endpoint leaving", "endpoint", id, "life", incarnation, "source", d.GetHost())
+		}
+	}
+	for _, l := range d.GetDepartures() {
+		incarnation, known := g.registrar.Current(identifier.Endpoint(l.GetEndpoint()), identifier.StartTime(l.GetBorn()))
+		mark(l.GetEndpoint(), incarnation, known)
+	}
+	if len(d.GetDepartures()) > 0 {
+		return
+	}
+	for _, id := range d.GetLeaving() {
+		incarnation, known := g.registrar.CurrentByID(identifier.Endpoint(id))
+		mark(id, incarnation, known)
+	}
+}
+
+// newNote returns a note: the part of this daemon's state that peers need before the next digest.
+func (g *Gateway) newNote() *rpc.Note {
+	d := g.c.Deployment
+	out := &rpc.Note{Host: string(d.Host), Address: d.Peers.String(), EndpointsRevision: g.endpointsRevision()}
+	out.Leaving, out.Departures = g.leavingEndpoints()
+	if g.lease != nil {
+		out.HoldsDuties = g.lease.Confirmed()
+	}
+	out.ConfigurationNumber = g.configurationNumber()
+	out.Suspects = g.quarantine.RPCSuspects()
+	out.Rollouts = g.encodeRollouts()
+	out.Limits, out.Rests = g.encodeLimits(), g.encodeBackoffs()
+	return out
+}
+
+// configurationNumber returns the number of the configuration in force, 0 for none.
+func (g *Gateway) configurationNumber() uint64 {
+	if c := g.versioner.Current(); c != nil {
+		return uint64(c.Number())
+	}
+	return 0
+}
+
+// mergeNote merges a peer's note.
+func (g *Gateway) mergeNote(n *rpc.Note) {
+	g.noteHolder(n.GetHoldsDuties())
+	g.quarantine.MergeSuspects(n.GetSuspects())
+	g.pacer.Merge(decodeLimits(n.GetLimits()))
+	g.mergeBackoffs(n.GetRests())
+	g.mergeRollouts(n.GetRollouts(), n.GetHost(), n.GetAddress())
+	g.catchUp(&rpc.Digest{
+		Host: n.GetHost(), Address: n.GetAddress(), ConfigurationNumber: n.GetConfigurationNumber(), EndpointsRevision: n.GetEndpointsRevision(),
+		Leaving: n.GetLeaving(), Departures: n.GetDepartures(),
+	})
+}
+
+// applySnapshot applies the objects fetched from the peer at an address.
+func (g *Gateway) applySnapshot(address, kind string, r *rpc.SnapshotReply) {
+	out := make([]object.Object, 0, len(r.GetObjects()))
+	for _, o := range r.GetObjects() {
+		out = append(out, object.Object{Key: o.GetKey(), Version: o.GetVersion(), Value: o.GetValue(), Deleted: o.GetDeleted()})
+	}
+	out = g.dropUnreadable(out)
+	if r.GetFull() {
+		g.applyChanges(g.mirror.Replace(kind, out, r.GetRevision()), address)
+		return
+	}
+	g.applyChanges(g.mirror.ApplyFromPeer(out), address)
+}
+
+// bootstrapFromPeers loads the configuration and endpoints of a peer into a daemon that started
+// while the store refused it: without them it would reject everything that its peers serve.
+func (g *Gateway) bootstrapFromPeers(ctx context.Context) error {
+	for ctx.Err() == nil && (g.versioner.Current() == nil || !g.endpointsListed.Load()) {
+		waiter.For(ctx, bootstrapInterval)
+		if g.versioner.Current() != nil && g.endpointsListed.Load() {
+			return suture.ErrDoNotRestart
+		}
+		for _, address := range g.syncer.KnownAddresses() {
+			if g.fetchSnapshot(ctx, address) {
+				break
+			}
+		}
+	}
+	return suture.ErrDoNotRestart
+}
+
+// fetchSnapshot applies everything that a peer knows, and reports whether it succeeded.
+func (g *Gateway) fetchSnapshot(ctx context.Context, address string) bool {
+	began := time.Now()
+	reply, err := g.supplier.RequestSnapshot(ctx, address, "", 0)
+	took := time.Since(began).Milliseconds()
+	if err != nil || len(reply.GetObjects()) == 0 {
+		g.c.Logger.Warn("no snapshot from peer", "address", address, "took_ms", took, "error", err)
+		return false
+	}
+	g.c.Logger.Info("snapshot applied from peer", "address", address, "objects", len(reply.GetObjects()), "took_ms", took)
+	g.applySnapshot(address, "", reply)
+	return true
+}
+
+// askForChanges fetches the changes after a revision from peers that watch the store. It is
+// called when a list lacks known objects, which may have been deleted or may have expired.
+func (g *Gateway) askForChanges(kind string, after uint64) {
+	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
+	defer cancel()
+	asked := 0
+	for _, d := range g.roster.LiveDaemons(time.Now()) {
+		if asked == maxAskedPeers || !d.Observing {
+			continue
+		}
+		asked++
+		reply, err := g.supplier.RequestSnapshot(ctx, d.Address, kind, after)
+		g.c.Logger.Info("objects missing from list, peer asked", "kind", kind, "after", after, "peer", d.Host,
+			"objects", len(reply.GetObjects()), "error", err)
+		if err == nil {
+			g.applySnapshot(d.Address, kind, reply)
+		}
+	}
+}
