--- a/integration/gateway_test.go
+++ b/integration/gateway_test.go
@@ -435,7 +435,7 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0], "gateway")
-	cmd.Env = append(os.Environ(), roleEnv+"=brasschute", platform.SettingsVariable+"="+h.file)
+	cmd.Env = append(os.Environ(), roleEnv+"=brasschute", platform.SettingsFileVariable+"="+h.file)
 	cmd.Stdout = writer
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
--- a/integration/hosted_test.go
+++ b/integration/hosted_test.go
@@ -187,7 +187,7 @@
 
 // start starts the daemon with the settings file.
 func (h *gatewayHost) start() {
-	h.process = startWithEnv(h.s.t, []string{platform.SettingsVariable + "=" + h.file}, "brasschute", h.name, "gateway")
+	h.process = startWithEnv(h.s.t, []string{platform.SettingsFileVariable + "=" + h.file}, "brasschute", h.name, "gateway")
 }
 
 // writeSettings writes the settings file with more lines at its end. All hosts prepared so far
--- a/internal/config/applier/applier.go
+++ b/internal/config/applier/applier.go
@@ -172,7 +172,7 @@
 	next := &keeper.Record{Source: d.Source}
 	next.Change = keeper.Change{
 		Number: max(d.From, old.Change.Number) + 1, From: d.From, Who: d.Who, WhenUnixMilli: time.Now().UnixMilli(),
-		Token: hex.EncodeToString(token), Differs: Differences(old.Source, d.Source),
+		Token: hex.EncodeToString(token), Differs: DiffLines(old.Source, d.Source),
 	}
 	if old.Change.Number > 0 {
 		next.History = append([]keeper.Change{old.Change}, old.History...)
@@ -278,10 +278,10 @@
 	return all[:min(limit, len(all))], nil
 }
 
-// Differences returns the lines that only one of two texts contains: first the
+// DiffLines returns the lines that only one of two texts contains: first the
 // removed lines, prefixed with "-", then the added ones, prefixed with "+". It
 // truncates a long list and appends the number of lines left out.
-func Differences(old, text string) []string {
+func DiffLines(old, text string) []string {
 	count := make(map[string]int)
 	for line := range strings.Lines(text) {
 		count[line]++
--- a/internal/config/deployment/deployment.go
+++ b/internal/config/deployment/deployment.go
@@ -25,8 +25,8 @@
 	DrainTime time.Duration
 	// ApplyTime is how long an accepted configuration may take to come into force.
 	ApplyTime time.Duration
-	// Grace is the time between the stop signal and the kill.
-	Grace time.Duration
+	// GracePeriod is the time between the stop signal and the kill.
+	GracePeriod time.Duration
 	// LeaseTime is the shortest time between two holders of a lease.
 	LeaseTime time.Duration
 	// RetryShare and RetryReserve are the retry budget of one service over all
@@ -46,9 +46,9 @@
 	UsageDue time.Duration
 	// CanaryShare of all requests for a service, plus CanarySlack requests, may go to a
 	// target version that turns out to be bad, and none later than RollbackTime after that.
-	CanaryShare  float64
-	CanarySlack  float64
-	RollbackTime time.Duration
+	CanaryShare float64
+	CanarySlack float64
+	RevertTime  time.Duration
 	// PrefixCacheTTL is how long a prompt's prefix is assumed to stay in an engine's
 	// prefix cache.
 	PrefixCacheTTL time.Duration
@@ -133,7 +133,7 @@
 	}{
 		{"drain time", d.Bounds.DrainTime},
 		{"apply time", d.Bounds.ApplyTime},
-		{"grace time", d.Bounds.Grace},
+		{"grace time", d.Bounds.GracePeriod},
 		{"lease time", d.Bounds.LeaseTime},
 		{"retry window", d.Bounds.RetryWindow},
 		{"quota window", d.Bounds.QuotaWindow},
--- a/internal/config/rollout/rollout.go
+++ b/internal/config/rollout/rollout.go
@@ -32,8 +32,8 @@
 // The phases, see the package comment.
 const (
 	Ordered Phase = iota
-	Trying
-	Moving
+	Canary
+	Migrating
 	Switching
 	Complete
 	Reverted
--- a/internal/core/watchdog/watchdog.go
+++ b/internal/core/watchdog/watchdog.go
@@ -9,7 +9,7 @@
 // # Usage
 //
 //	w := watchdog.New(watchdog.Config{Transport: t, IdleTimeout: time.Second})
-//	resp, err := w.DoAfter(request, 30*time.Second) // the server may wait before it responds
+//	resp, err := w.DoLongPoll(request, 30*time.Second) // the server may wait before it responds
 package watchdog
 
 import (
@@ -39,11 +39,11 @@
 func New(c Config) *Watchdog { return &Watchdog{c: c} }
 
 // Do makes a call that the server responds to immediately. The body must be closed.
-func (w *Watchdog) Do(r *http.Request) (*http.Response, error) { return w.DoAfter(r, 0) }
+func (w *Watchdog) Do(r *http.Request) (*http.Response, error) { return w.DoLongPoll(r, 0) }
 
-// DoAfter makes a call whose server may wait that long before it responds, as in a long poll.
+// DoLongPoll makes a call whose server may wait that long before it responds, as in a long poll.
 // The body must be closed. The error wraps [ErrIdleTimeout] if no data arrived in time.
-func (w *Watchdog) DoAfter(r *http.Request, wait time.Duration) (*http.Response, error) {
+func (w *Watchdog) DoLongPoll(r *http.Request, wait time.Duration) (*http.Response, error) {
 	ctx, cancel := context.WithCancelCause(r.Context())
 	timer := time.AfterFunc(wait+w.c.IdleTimeout, func() { cancel(ErrIdleTimeout) })
 	resp, err := w.c.Transport.RoundTrip(r.WithContext(ctx))
--- a/internal/core/watchdog/watchdog_test.go
+++ b/internal/core/watchdog/watchdog_test.go
@@ -87,7 +87,7 @@
 }
 
 func read(w *Watchdog, r *http.Request, wait time.Duration) (string, error) {
-	resp, err := w.DoAfter(r, wait)
+	resp, err := w.DoLongPoll(r, wait)
 	if err != nil {
 		return "", err
 	}
--- a/internal/engine/sender/sender.go
+++ b/internal/engine/sender/sender.go
@@ -79,8 +79,8 @@
 	OnConnect func()
 }
 
-// Message is one request to an endpoint.
-type Message struct {
+// Request is one request to an endpoint.
+type Request struct {
 	// Address is IP:port of the endpoint.
 	Address string
 	Method  string
@@ -127,9 +127,9 @@
 	return &Sender{c: c, idle: make(map[string][]*connection)}
 }
 
-// Exchange is a response whose body has not been read yet. The caller must call
+// Response is a response whose body has not been read yet. The caller must call
 // Close.
-type Exchange struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Body returns io.EOF only after the whole body: if the endpoint marked its
@@ -146,7 +146,7 @@
 // Send writes one request and reads the status and headers of its response. When
 // ctx ends, the connection is closed, which makes the endpoint abort the request.
 // The error wraps one of those declared in this package.
-func (s *Sender) Send(ctx context.Context, m *Message) (*Exchange, error) {
+func (s *Sender) Send(ctx context.Context, m *Request) (*Response, error) {
 	l, err := s.connect(ctx, m.Address)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
@@ -186,7 +186,7 @@
 	return x, nil
 }
 
-func (s *Sender) readResponse(l *connection, r *http.Request, m *Message) (*Exchange, error) {
+func (s *Sender) readResponse(l *connection, r *http.Request, m *Request) (*Response, error) {
 	for range maxMismatched + 1 {
 		if _, err := l.reader.Peek(1); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
@@ -196,7 +196,7 @@
 			return nil, fmt.Errorf("%w: %w", ErrBadResponse, err)
 		}
 		if m.Matches == nil || m.Matches(resp.Header) {
-			x := &Exchange{Status: resp.StatusCode, Header: resp.Header, sender: s, conn: l, reusable: !resp.Close}
+			x := &Response{Status: resp.StatusCode, Header: resp.Header, sender: s, conn: l, reusable: !resp.Close}
 			x.Body = &body{ReadCloser: resp.Body, x: x}
 			l.keepAlive = defaultKeepAlive
 			if m.KeepAlive != nil {
@@ -214,7 +214,7 @@
 	return nil, fmt.Errorf("%w: an answer to another request", ErrBadResponse)
 }
 
-func newRequest(m *Message) (*http.Request, error) {
+func newRequest(m *Request) (*http.Request, error) {
 	if _, err := url.ParseRequestURI(m.Target); err != nil {
 		return nil, fmt.Errorf("target: %w", err)
 	}
@@ -327,7 +327,7 @@
 // Close ends the exchange. A connection whose response was read to its end is kept
 // for reuse. Any other is closed, so that the rest of its response can't be taken
 // for part of the next one.
-func (x *Exchange) Close() {
+func (x *Response) Close() {
 	if x.conn == nil {
 		return
 	}
@@ -344,7 +344,7 @@
 // body is the body of an exchange.
 type body struct {
 	io.ReadCloser
-	x *Exchange
+	x *Response
 }
 
 // Read reads the body and records whether it was read to its end.
--- a/internal/engine/sender/sender_test.go
+++ b/internal/engine/sender/sender_test.go
@@ -28,15 +28,15 @@
 	return server.Listener.Addr().String()
 }
 
-func message(address, id string) *Message {
-	return &Message{
+func message(address, id string) *Request {
+	return &Request{
 		Address: address, Method: http.MethodPost, Target: "/x/a%2Fb?c=%20", Host: "desk.example", Body: []byte("body"),
 		Header:  http.Header{"Request-Id": {id}},
 		Matches: func(h http.Header) bool { return h.Get("Request-Id") == id },
 	}
 }
 
-func exchange(t *testing.T, s *Sender, m *Message) (string, error) {
+func exchange(t *testing.T, s *Sender, m *Request) (string, error) {
 	t.Helper()
 	x, err := s.Send(t.Context(), m)
 	if err != nil {
--- a/internal/fleet/leaser/hosted_test.go
+++ b/internal/fleet/leaser/hosted_test.go
@@ -32,11 +32,11 @@
 		if _, held := other.Held(); held {
 			t.Error("another host holds the lease too")
 		}
-		if _, exclusive := next.HeldFor(); exclusive {
+		if _, exclusive := next.HeldExclusively(); exclusive {
 			t.Error("held exclusively while orders of the killed process may be in flight")
 		}
 		time.Sleep(MaxOrderDelay + time.Millisecond)
-		if _, exclusive := next.HeldFor(); !exclusive {
+		if _, exclusive := next.HeldExclusively(); !exclusive {
 			t.Error("never held exclusively")
 		}
 	})
--- a/internal/fleet/leaser/leaser.go
+++ b/internal/fleet/leaser/leaser.go
@@ -134,9 +134,9 @@
 	return l.current.FencingNumber, l.c.Now().Before(l.heldUntil)
 }
 
-// HeldFor is like [Leaser.Held], for orders to engines that ignore the fencing number: it
+// HeldExclusively is like [Leaser.Held], for orders to engines that ignore the fencing number: it
 // reports true only once no order of an earlier holder can be in flight any more.
-func (l *Leaser) HeldFor() (fencing uint64, held bool) {
+func (l *Leaser) HeldExclusively() (fencing uint64, held bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.c.Now()
--- a/internal/fleet/leaser/leaser_test.go
+++ b/internal/fleet/leaser/leaser_test.go
@@ -159,11 +159,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		l := newCandidate(&store{}, "a")
 		l.step(t.Context())
-		if _, held := l.HeldFor(); held {
+		if _, held := l.HeldExclusively(); held {
 			t.Fatal("held exclusively at once")
 		}
 		time.Sleep(MaxOrderDelay + time.Millisecond)
-		if _, held := l.HeldFor(); !held {
+		if _, held := l.HeldExclusively(); !held {
 			t.Fatal("never held exclusively")
 		}
 	})
--- a/internal/fleet/promoter/promoter.go
+++ b/internal/fleet/promoter/promoter.go
@@ -185,19 +185,19 @@
 		return t.evidence.RevertReason
 	}
 	switch t.phase {
-	case rollout.Trying:
+	case rollout.Canary:
 		if in.Now.Before(t.oldEnd.Add(-moveTime)) {
 			return ""
 		}
 		if t.holdReason(o, in) != "" {
 			return ""
 		}
-		t.phase = rollout.Moving
+		t.phase = rollout.Migrating
 		if earliest := in.Now.Add(minMoveTime); t.oldEnd.Before(earliest) {
 			t.oldEnd = earliest
 		}
 		return fmt.Sprintf("as good as the old version in %d answers", t.evidence.New.Answers)
-	case rollout.Moving:
+	case rollout.Migrating:
 		if in.Now.Before(t.oldEnd) {
 			return ""
 		}
@@ -230,7 +230,7 @@
 // HoldReason returns what keeps an order in its trial phase, for display; empty if nothing does
 // or the order is not in that phase.
 func (p *Promoter) HoldReason(o *splitter.Order, in *Input) string {
-	if t := p.trials[o.OrderID()]; t != nil && t.phase == rollout.Trying {
+	if t := p.trials[o.OrderID()]; t != nil && t.phase == rollout.Canary {
 		return t.holdReason(o, in)
 	}
 	return ""
--- a/internal/fleet/promoter/simulation_test.go
+++ b/internal/fleet/promoter/simulation_test.go
@@ -127,7 +127,7 @@
 	}
 	for range daemons {
 		s := splitter.New(splitter.Config{
-			CanaryShare: canaryShare, CanarySlack: canarySlack, RollbackTime: revertTime, Daemons: func() int { return daemons }, Now: func() time.Time { return sim.now },
+			CanaryShare: canaryShare, CanarySlack: canarySlack, RevertTime: revertTime, Daemons: func() int { return daemons }, Now: func() time.Time { return sim.now },
 			Random: sim.random.Float64, Endpoints: sim.endpoints,
 		})
 		s.ApplyOrders(nil, "store")
@@ -232,7 +232,7 @@
 			deliver(func() { s.ApplyGrant(&g, "holder") })
 		}
 		if step.Store && step.Phase > sim.stored || step.Phase == rollout.Ordered && sim.stored == rollout.Ordered {
-			sim.storePhase(max(step.Phase, rollout.Trying))
+			sim.storePhase(max(step.Phase, rollout.Canary))
 		}
 	}
 }
--- a/internal/fleet/reconciler/reconciler.go
+++ b/internal/fleet/reconciler/reconciler.go
@@ -44,7 +44,7 @@
 // Lease reports whether this controller holds the zone's lease; see package leaser.
 type Lease interface {
 	Held() (fencing uint64, held bool)
-	HeldFor() (fencing uint64, held bool)
+	HeldExclusively() (fencing uint64, held bool)
 }
 
 // Config holds the dependencies of a [Reconciler].
@@ -147,7 +147,7 @@
 func (r *Reconciler) sendOrder(ctx context.Context, t *task) {
 	fencing, held := r.c.Lease.Held()
 	if !t.pool.HonoursFencing {
-		fencing, held = r.c.Lease.HeldFor()
+		fencing, held = r.c.Lease.HeldExclusively()
 	}
 	if !held {
 		return
--- a/internal/measure/collector/collector.go
+++ b/internal/measure/collector/collector.go
@@ -109,14 +109,14 @@
 	Answered, InTarget int
 	// P50, P95 and P99 are percentiles of the time to first token.
 	P50, P95, P99 time.Duration
-	// BetweenP95 is the 95th percentile of the longest token gap of a request.
-	BetweenP95 time.Duration
-	// CostPerThousand is the cost of all requests for each thousand in target.
-	CostPerThousand float64
-	// Recomputed is the sum of recomputed tokens, RecomputedPerPrompt their
+	// TokenGapP95 is the 95th percentile of the longest token gap of a request.
+	TokenGapP95 time.Duration
+	// CostPerThousandInTarget is the cost of all requests for each thousand in target.
+	CostPerThousandInTarget float64
+	// RecomputedTokens is the sum of recomputed tokens, RecomputedPerPrompt their
 	// share of all prompt tokens, from 0 to 1.
-	Recomputed          identifier.Tokens
-	RecomputedPerPrompt float64
+	RecomputedTokens identifier.Tokens
+	RecomputedShare  float64
 	// Refused counts the refused requests by reason.
 	Refused map[string]int
 }
@@ -128,9 +128,9 @@
 	const thousand = 1000
 	return Summary{
 		Answered: c.answered, InTarget: c.inTarget, P50: quantile(c.firstToken, 50), P95: quantile(c.firstToken, 95),
-		P99: quantile(c.firstToken, 99), BetweenP95: quantile(c.tokenGap, 95),
-		CostPerThousand: thousand * c.cost / float64(max(c.inTarget, 1)), Recomputed: c.recomputedTokens,
-		RecomputedPerPrompt: float64(c.recomputedTokens) / float64(max(c.promptTokens, 1)), Refused: c.refused,
+		P99: quantile(c.firstToken, 99), TokenGapP95: quantile(c.tokenGap, 95),
+		CostPerThousandInTarget: thousand * c.cost / float64(max(c.inTarget, 1)), RecomputedTokens: c.recomputedTokens,
+		RecomputedShare: float64(c.recomputedTokens) / float64(max(c.promptTokens, 1)), Refused: c.refused,
 	}
 }
 
@@ -160,7 +160,7 @@
 		refused += n
 	}
 	return fmt.Sprintf("| %s | %d | %d | %s | %s | %s | %s | %.4f | %d | %.1f%% | %d |", name, s.Answered, s.InTarget,
-		round(s.P50), round(s.P95), round(s.P99), round(s.BetweenP95), s.CostPerThousand, s.Recomputed, 100*s.RecomputedPerPrompt, refused)
+		round(s.P50), round(s.P95), round(s.P99), round(s.TokenGapP95), s.CostPerThousandInTarget, s.RecomputedTokens, 100*s.RecomputedShare, refused)
 }
 
 func round(d time.Duration) time.Duration { return d.Round(time.Millisecond) }
--- a/internal/measure/experiment/experiment_test.go
+++ b/internal/measure/experiment/experiment_test.go
@@ -252,13 +252,13 @@
 	d.streamer = streamer.New(streamer.Config{
 		Registry: d.registry, Caller: client, Budgeter: budgeter.New(budgeter.Config{}), Zone: zone(i),
 		Quarantine: crashreporter.New(crashreporter.Config{
-			Dialer: noNetwork{}, Leaving: d.registry.Leaving, OnNews: func(bool) {}, Logger: log.New(io.Discard), Metrics: tally.NoopScope,
+			Dialer: noNetwork{}, Leaving: d.registry.Leaving, OnChange: func(bool) {}, Logger: log.New(io.Discard), Metrics: tally.NoopScope,
 		}),
 	})
 	e.daemons = append(e.daemons, d)
 	for n := range e.hosts {
 		value, _ := json.Marshal(e.hosts[n])
-		d.registry.Apply(&object.Object{Key: inventory.HostPrefix + string(e.hosts[n].Host), Value: value})
+		d.registry.ApplyObject(&object.Object{Key: inventory.HostPrefix + string(e.hosts[n].Host), Value: value})
 	}
 }
 
@@ -501,8 +501,8 @@
 }
 
 func (c *charts) add(policy string, s *collector.Summary) {
-	c.cost[policy] = append(c.cost[policy], s.CostPerThousand)
-	c.recomputed[policy] = append(c.recomputed[policy], float64(s.Recomputed))
+	c.cost[policy] = append(c.cost[policy], s.CostPerThousandInTarget)
+	c.recomputed[policy] = append(c.recomputed[policy], float64(s.RecomputedTokens))
 }
 
 // save writes the charts, if -plots names a folder.
--- a/internal/measure/experiment/fairness_test.go
+++ b/internal/measure/experiment/fairness_test.go
@@ -60,7 +60,7 @@
 			start := time.Now()
 			ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 			defer cancel()
-			release, err := l.Acquire(ctx, &limiter.Ticket{Organisation: o, Pool: "p", Limit: organisationLimit, Queue: 20, Slots: poolSlots})
+			release, err := l.Acquire(ctx, &limiter.Ticket{Organisation: o, Pool: "p", Limit: organisationLimit, QueueLimit: 20, Slots: poolSlots})
 			if err != nil {
 				r.Add(collector.Sample{Organisation: o, Refused: "over"})
 				return
--- a/internal/ops/commander/commander.go
+++ b/internal/ops/commander/commander.go
@@ -274,7 +274,7 @@
 	reload := make(chan os.Signal, 1)
 	signal.Notify(reload, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
-	path := os.Getenv(platform.SettingsVariable)
+	path := os.Getenv(platform.SettingsFileVariable)
 	d, err := platform.ReadDeployment(path)
 	if err != nil {
 		return err
--- a/internal/ops/operator/operator.go
+++ b/internal/ops/operator/operator.go
@@ -63,15 +63,15 @@
 	Keys     map[string]string
 	Keeper   *keeper.Keeper
 	Applier  *applier.Applier
-	Ledger   *membertracker.Tracker
+	Members  *membertracker.Tracker
 	Registry *registry.Registry
 	Recorder *recorder.Recorder
 	// Peer returns a client for a peer's address, as IP:port.
 	Peer func(address string) rpc.Peer
-	// Trails returns the known audit trails of the zones.
-	Trails func() []*auditor.Trail
-	// Repairs returns the repair record of a zone.
-	Repairs func(ctx context.Context, zone identifier.AvailabilityZone) (*repairer.Record, error)
+	// AuditTrails returns the known audit trails of the zones.
+	AuditTrails func() []*auditor.Trail
+	// RepairRecord returns the repair record of a zone.
+	RepairRecord func(ctx context.Context, zone identifier.AvailabilityZone) (*repairer.Record, error)
 	// State, InFlight and PlatformReachable return the daemon's state, its number of requests in
 	// flight, and whether it reaches the platform.
 	State             func() string
@@ -153,8 +153,8 @@
 // confirmInForce waits until all live peers have configuration n or a newer one in force, at
 // most applyTimeout.
 func (o *Operator) confirmInForce(ctx context.Context, n identifier.ConfigurationNumber) *rpc.Applied {
-	out := &rpc.Applied{Number: uint64(n), InForce: []string{o.c.Ledger.Self().Host}}
-	waiting := o.c.Ledger.Alive()
+	out := &rpc.Applied{Number: uint64(n), InForce: []string{o.c.Members.Self().Host}}
+	waiting := o.c.Members.Alive()
 	reached := make(map[string]bool)
 	deadline := time.Now().Add(applyTimeout)
 	for len(waiting) > 0 && time.Now().Before(deadline) && ctx.Err() == nil {
@@ -244,11 +244,11 @@
 
 // Status returns the state of the daemon and its view of the fleet.
 func (o *Operator) Status(ctx context.Context, _ *rpc.StatusRequest) (*rpc.StatusReply, error) {
-	self := o.c.Ledger.Self()
+	self := o.c.Members.Self()
 	out := &rpc.StatusReply{
 		Host: self.Host, AvailabilityZone: self.AvailabilityZone, State: o.c.State(),
 		ConfigurationNumber: uint64(o.c.Keeper.Number()), RefusedConfiguration: o.c.Keeper.LastRefusal(),
-		PlatformReachable: o.c.PlatformReachable(), Members: o.c.Ledger.Members(), RequestsInFlight: uint32(o.c.InFlight()),
+		PlatformReachable: o.c.PlatformReachable(), Members: o.c.Members.Members(), RequestsInFlight: uint32(o.c.InFlight()),
 	}
 	endpoints := o.c.Registry.Endpoints()
 	for i := range endpoints {
@@ -281,7 +281,7 @@
 		Now: time.Now(), Prices: c.Prices, SpendingPerHour: c.Fleet.SpendingPerHour,
 	}
 	out := &rpc.RepairStatus{Pool: string(pool), AvailabilityZone: string(w.AvailabilityZone), Wanted: uint32(w.Hosts)}
-	record, err := o.c.Repairs(ctx, w.AvailabilityZone)
+	record, err := o.c.RepairRecord(ctx, w.AvailabilityZone)
 	if err != nil {
 		out.Doing = "not known: " + err.Error()
 		record = &repairer.Record{}
@@ -339,7 +339,7 @@
 	}
 	var mu sync.Mutex
 	out := &rpc.ExplainReply{}
-	o.callPeers(ctx, o.c.Ledger.Alive(), func(ctx context.Context, _ *rpc.Member, p rpc.Peer) {
+	o.callPeers(ctx, o.c.Members.Alive(), func(ctx context.Context, _ *rpc.Member, p rpc.Peer) {
 		reply, err := p.Explain(ctx, r)
 		mu.Lock()
 		defer mu.Unlock()
@@ -363,7 +363,7 @@
 			out.Entries = append(out.Entries, configurationEntry(&changes[i]))
 		}
 	}
-	for _, t := range o.c.Trails() {
+	for _, t := range o.c.AuditTrails() {
 		entries, err := t.Read(ctx)
 		if err != nil {
 			return nil, twirp.NewError(twirp.Unavailable, err.Error())
--- a/internal/peer/aggregator/aggregator.go
+++ b/internal/peer/aggregator/aggregator.go
@@ -280,9 +280,9 @@
 	return a.fleetSums.message(a.members[without])
 }
 
-// Others returns the demands of all other daemons and what they send to each endpoint. A relay
+// OthersSum returns the demands of all other daemons and what they send to each endpoint. A relay
 // sums them itself, any other daemon has them from a relay; they are empty if it hears none.
-func (a *Aggregator) Others(relaying bool, now time.Time) *rpc.Summary {
+func (a *Aggregator) OthersSum(relaying bool, now time.Time) *rpc.Summary {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !relaying {
--- a/internal/peer/aggregator/invalid_test.go
+++ b/internal/peer/aggregator/invalid_test.go
@@ -38,7 +38,7 @@
 	if !changed || u.Accounts["desk"].Total != 500 || len(u.Accounts) != 1 || u.Silent > u.Daemons {
 		t.Errorf("the valid rest was not merged: %+v", u)
 	}
-	if loads := a.Others(true, now).GetLoads(); len(loads) != 1 || loads[0].GetEndpoint() != "i-2" {
+	if loads := a.OthersSum(true, now).GetLoads(); len(loads) != 1 || loads[0].GetEndpoint() != "i-2" {
 		t.Errorf("loads %v", loads)
 	}
 }
--- a/internal/peer/crashreporter/crashreporter.go
+++ b/internal/peer/crashreporter/crashreporter.go
@@ -49,11 +49,11 @@
 	// Incarnation returns the incarnation of an endpoint, the same at all daemons. If nil, it is
 	// the endpoint's start time.
 	Incarnation func(*registry.Pick) identifier.StartTime
-	// OnNews is called when suspects have changed. own is true for findings of this daemon,
+	// OnChange is called when suspects have changed. own is true for findings of this daemon,
 	// false for those of others.
-	OnNews  func(own bool)
-	Logger  *log.Logger
-	Metrics tally.Scope
+	OnChange func(own bool)
+	Logger   *log.Logger
+	Metrics  tally.Scope
 }
 
 // BrokenRequest is a request that an endpoint broke off.
@@ -78,7 +78,7 @@
 // New returns a reporter without suspects.
 func New(c Config) *Reporter {
 	if c.Incarnation == nil {
-		c.Incarnation = func(k *registry.Pick) identifier.StartTime { return k.Born }
+		c.Incarnation = func(k *registry.Pick) identifier.StartTime { return k.StartTime }
 	}
 	r := &Reporter{c: c, prober: prober.New(prober.Config{Dialer: c.Dialer}), logLimiter: rate.NewLimiter(logLinesPerSecond, logLinesPerSecond)}
 	r.Quarantiner = quarantiner.New(quarantiner.Config{Host: c.Host, OnChange: r.logChange})
@@ -118,14 +118,14 @@
 	}
 	e := quarantiner.Ending{Endpoint: b.Pick.Endpoint, Born: incarnation, Weak: b.Events > 0}
 	if found == prober.Refused && r.RecordEnding(b.Fingerprint, e) {
-		r.c.OnNews(true)
+		r.c.OnChange(true)
 	}
 }
 
 // Answered clears a request that an endpoint has run to completion.
 func (r *Reporter) Answered(f identifier.Fingerprint) {
 	if r.RecordAnswer(f) {
-		r.c.OnNews(true)
+		r.c.OnChange(true)
 	}
 }
 
@@ -135,7 +135,7 @@
 	lifted := r.Quarantiner.Lift(f)
 	r.c.Logger.Info("request lifted from quarantine", "fingerprint", f, "known", lifted)
 	if lifted {
-		r.c.OnNews(true)
+		r.c.OnChange(true)
 	}
 	return lifted
 }
@@ -202,7 +202,7 @@
 		}
 	}
 	if r.Merge(list) {
-		r.c.OnNews(false)
+		r.c.OnChange(false)
 	}
 }
 
--- a/internal/peer/crashreporter/crashreporter_test.go
+++ b/internal/peer/crashreporter/crashreporter_test.go
@@ -43,7 +43,7 @@
 func newReporter(h host, leaving bool, ownNews *atomic.Int32) *Reporter {
 	return New(Config{
 		Host: "a", Dialer: h, Leaving: func(*registry.Pick) (time.Time, bool) { return time.Time{}, leaving },
-		OnNews: func(own bool) {
+		OnChange: func(own bool) {
 			if own {
 				ownNews.Add(1)
 			}
--- a/internal/peer/gatherer/gatherer.go
+++ b/internal/peer/gatherer/gatherer.go
@@ -61,9 +61,9 @@
 	return true
 }
 
-// Entries returns the digests received in the last 40 s, earlier incarnations included, in no
+// Digests returns the digests received in the last 40 s, earlier incarnations included, in no
 // order.
-func (g *Gatherer) Entries(now time.Time) []Entry {
+func (g *Gatherer) Digests(now time.Time) []Entry {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := make([]Entry, 0, len(g.entries))
@@ -81,7 +81,7 @@
 // 40 s.
 func (g *Gatherer) Latest(now time.Time) map[identifier.Host]Entry {
 	out := make(map[identifier.Host]Entry)
-	for _, e := range g.Entries(now) {
+	for _, e := range g.Digests(now) {
 		host := identifier.Host(e.Digest.GetHost())
 		if old, ok := out[host]; !ok || e.Digest.GetIncarnation() > old.Digest.GetIncarnation() {
 			out[host] = e
--- a/internal/peer/gossiper/gossiper.go
+++ b/internal/peer/gossiper/gossiper.go
@@ -225,7 +225,7 @@
 func (g *Gossiper) swap(ctx context.Context, host identifier.Host, address string) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	out := g.c.Members.News()
+	out := g.c.Members.NextMessage()
 	g.fillNews(out)
 	in, err := g.Peer(address).Exchange(call, out)
 	if err != nil {
@@ -325,9 +325,9 @@
 // rpc.Peer, as the methods below do.
 func (g *Gossiper) Exchange(ctx context.Context, in *rpc.News) (*rpc.News, error) {
 	go g.merge(context.WithoutCancel(ctx), in)
-	out := g.c.Members.News()
+	out := g.c.Members.NextMessage()
 	if in.Full {
-		out = g.c.Members.Full()
+		out = g.c.Members.FullMessage()
 	}
 	g.fillNews(out)
 	return out, nil
--- a/internal/peer/membertracker/membertracker.go
+++ b/internal/peer/membertracker/membertracker.go
@@ -229,9 +229,9 @@
 	t.self.State = rpc.State_DEAD
 }
 
-// News returns the message for one exchange. It is a full one, as a request for a full answer,
+// NextMessage returns the message for one exchange. It is a full one, as a request for a full answer,
 // if digests kept differing or no member is known.
-func (t *Tracker) News() *rpc.News {
+func (t *Tracker) NextMessage() *rpc.News {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	full := t.differingDigests >= maxDifferingDigests || len(t.members) == 0
@@ -240,8 +240,8 @@
 	return n
 }
 
-// Full returns a message with all records, as the answer to a full one.
-func (t *Tracker) Full() *rpc.News {
+// FullMessage returns a message with all records, as the answer to a full one.
+func (t *Tracker) FullMessage() *rpc.News {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := &rpc.News{Self: t.copySelf(), Digest: t.digest(), Full: true}
--- a/internal/peer/membertracker/membertracker_test.go
+++ b/internal/peer/membertracker/membertracker_test.go
@@ -39,7 +39,7 @@
 		if x, y := fmt.Sprint(a.Members()), fmt.Sprint(b.Members()); x != y {
 			rt.Fatalf("%s\n%s", x, y)
 		}
-		if a.News().Digest != b.News().Digest {
+		if a.NextMessage().Digest != b.NextMessage().Digest {
 			rt.Fatal("digests differ")
 		}
 	})
@@ -115,13 +115,13 @@
 		tracker.MarkLeaving(identifier.Host(fmt.Sprint(i)), 1, now, now)
 	}
 	tracker.Merge(&rpc.News{Full: true}, now)
-	if n := tracker.News(); len(n.Members) > maxNewsMembers || len(n.Leaving) > maxNewsLeaving {
+	if n := tracker.NextMessage(); len(n.Members) > maxNewsMembers || len(n.Leaving) > maxNewsLeaving {
 		t.Fatalf("%d members, %d leaving", len(n.Members), len(n.Leaving))
 	}
 	for range 300 {
-		tracker.News()
+		tracker.NextMessage()
 	}
-	if n := tracker.News(); len(n.Members)+len(n.Leaving) != 0 {
+	if n := tracker.NextMessage(); len(n.Members)+len(n.Leaving) != 0 {
 		t.Fatalf("still sends %d members, %d leaving", len(n.Members), len(n.Leaving))
 	}
 }
--- a/internal/peer/syncer/syncer.go
+++ b/internal/peer/syncer/syncer.go
@@ -136,8 +136,8 @@
 // peer. Three spread it to sixty daemons in four steps.
 const ForwardFanOut = 3
 
-// SendNote sends this daemon's note to some addresses now, without waiting for the result.
-func (s *Syncer) SendNote(ctx context.Context, addresses []string) {
+// SendNotes sends this daemon's note to some addresses now, without waiting for the result.
+func (s *Syncer) SendNotes(ctx context.Context, addresses []string) {
 	for _, address := range addresses {
 		go s.notify(ctx, address)
 	}
--- a/internal/platform/client/client.go
+++ b/internal/platform/client/client.go
@@ -157,7 +157,7 @@
 	for name, values := range header {
 		req.Header[name] = values
 	}
-	resp, err := c.http.DoAfter(req, wait)
+	resp, err := c.http.DoLongPoll(req, wait)
 	if err != nil {
 		return object.ClassifyError(method, err)
 	}
--- a/internal/platform/watcher/watcher.go
+++ b/internal/platform/watcher/watcher.go
@@ -72,8 +72,8 @@
 	Sink     Sink
 	// Prefixes are the key prefixes to follow.
 	Prefixes []string
-	// Wait is the longest time that one watch stays open; 20 s if zero.
-	Wait time.Duration
+	// WatchTimeout is the longest time that one watch stays open; 20 s if zero.
+	WatchTimeout time.Duration
 	// Known returns the keys and versions that were learned from other sources than
 	// the platform; may be nil. A list removes those that it lacks, unless they are
 	// newer than the list.
@@ -117,8 +117,8 @@
 
 // New returns a watcher that has seen nothing.
 func New(c Config) *Watcher {
-	if c.Wait == 0 {
-		c.Wait = defaultWatchTimeout
+	if c.WatchTimeout == 0 {
+		c.WatchTimeout = defaultWatchTimeout
 	}
 	if c.Idle == nil {
 		c.Idle = func() bool { return false }
@@ -183,7 +183,7 @@
 
 // step makes one call, a list or a watch, and applies its result.
 func (w *Watcher) step(ctx context.Context, listed *bool) error {
-	wait := w.c.Wait
+	wait := w.c.WatchTimeout
 	if !w.relistAt.IsZero() {
 		wait = min(wait, time.Until(w.relistAt))
 	}
--- a/internal/role/controller/controller.go
+++ b/internal/role/controller/controller.go
@@ -92,7 +92,7 @@
 func (k *Controller) Apply(objects []object.Object) {
 	for i := range objects {
 		k.keeper.Apply(&objects[i])
-		k.registry.Apply(&objects[i])
+		k.registry.ApplyObject(&objects[i])
 	}
 }
 
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -164,7 +164,7 @@
 		Host: s.Host, Dialer: &net.Dialer{LocalAddr: s.Source()}, Leaving: e.registry.Leaving,
 		// The host list numbers the incarnations of hosts.
 		Incarnation: func(k *registry.Pick) identifier.StartTime { return identifier.StartTime(k.Incarnation) },
-		OnNews:      func(bool) { e.gossiper.Trigger() }, Logger: e.c.Logger, Metrics: e.scope,
+		OnChange:    func(bool) { e.gossiper.Trigger() }, Logger: e.c.Logger, Metrics: e.scope,
 	})
 	e.gossiper = gossiper.New(gossiper.Config{
 		Reporter: e.quarantine, Members: e.members, Registry: e.registry, Keeper: e.keeper, Retainer: retained, Recorder: records, Seeds: seedAddresses(s),
@@ -202,9 +202,9 @@
 		Forwarder: forwarder.New(forwarder.Config{
 			Registry: e.registry, Caller: endpoints, Budgeter: budget, Zone: s.AvailabilityZone, Quarantine: e.quarantine,
 		}),
-		Carrier:  transferrer.New(transferrer.Config{Ledger: e.members, Holder: retained, Peer: e.gossiper.Peer, Store: e.platform}),
-		Sealer:   sealer.New(sealer.Config{Key: key}),
-		Recorder: records, Daemons: e.members, Logger: e.c.Logger, Metrics: e.scope, EarnRetry: budget.Earn,
+		Transferrer: transferrer.New(transferrer.Config{Ledger: e.members, Retainer: retained, Peer: e.gossiper.Peer, Store: e.platform}),
+		Sealer:      sealer.New(sealer.Config{Key: key}),
+		Recorder:    records, Daemons: e.members, Logger: e.c.Logger, Metrics: e.scope, EarnRetry: budget.Earn,
 	})
 	e.tree = suture.New("entry", suture.Spec{EventHook: e.logSupervisorEvent})
 	e.tree.Add(watcher.New(watcher.Config{
@@ -214,7 +214,7 @@
 	e.tree.Add(e.gossiper)
 	e.tree.Add(e.migrator)
 	e.tree.Add(poller.New(poller.Config{
-		Registry: e.registry, Ledger: e.members, Caller: endpoints, OnReport: e.gossiper.ShareReport,
+		Registry: e.registry, Members: e.members, Caller: endpoints, OnReport: e.gossiper.ShareReport,
 	}))
 	e.tree.Add(&memberRegistrar{e: e})
 	e.tree.Add(&gaugeUpdater{e: e})
@@ -258,10 +258,10 @@
 	}
 	o := operator.New(operator.Config{
 		Keys: keys, Keeper: e.keeper, Applier: applier.New(applier.Config{Store: e.platform, Keeper: e.keeper}),
-		Ledger: e.members, Registry: e.registry, Recorder: e.handler.Recorder(), Peer: e.gossiper.Peer, Trails: e.repairTrails,
-		Repairs:  e.repairRecord,
-		State:    func() string { return e.handler.Phase().String() },
-		InFlight: e.handler.InFlight, PlatformReachable: e.reachable.Load,
+		Members: e.members, Registry: e.registry, Recorder: e.handler.Recorder(), Peer: e.gossiper.Peer, AuditTrails: e.repairTrails,
+		RepairRecord: e.repairRecord,
+		State:        func() string { return e.handler.Phase().String() },
+		InFlight:     e.handler.InFlight, PlatformReachable: e.reachable.Load,
 		Drain:  func() { e.requestStop(time.Now().Add(e.c.Settings.Drain.Patience.Std())) },
 		Logger: e.c.Logger,
 	})
--- a/internal/role/entry/events.go
+++ b/internal/role/entry/events.go
@@ -28,7 +28,7 @@
 		e.mergeMember(&o)
 	default:
 		e.recordZone(o.Key)
-		e.registry.Apply(&o)
+		e.registry.ApplyObject(&o)
 		e.handleReclaimNotice(&o)
 	}
 }
--- a/internal/role/gateway/backoffs.go
+++ b/internal/role/gateway/backoffs.go
@@ -25,7 +25,7 @@
 	until := g.registry.BackOff(pick, d)
 	g.scope.Counter("endpoint_rests").Inc(1)
 	if g.endpointLogs.Allow() {
-		g.c.Logger.Info("endpoint asked for backoff", "request", q.ID, "endpoint", pick.Endpoint, "born", pick.Born, "for_ms", d.Milliseconds(),
+		g.c.Logger.Info("endpoint asked for backoff", "request", q.ID, "endpoint", pick.Endpoint, "born", pick.StartTime, "for_ms", d.Milliseconds(),
 			"left_alone_ms", time.Until(until).Milliseconds())
 	}
 	if g.backoffNotes.Allow() {
@@ -38,7 +38,7 @@
 	changed := false
 	for _, l := range list {
 		changed = g.registry.ApplyPeerBackoff(registry.Backoff{
-			Endpoint: identifier.Endpoint(l.GetEndpoint()), Born: identifier.StartTime(l.GetBorn()),
+			Endpoint: identifier.Endpoint(l.GetEndpoint()), StartTime: identifier.StartTime(l.GetBorn()),
 			Until: time.Now().Add(time.Duration(l.GetLeftMilli()) * time.Millisecond),
 		}) || changed
 	}
@@ -52,7 +52,7 @@
 	list := g.registry.Backoffs()
 	out := make([]*rpc.EndpointRest, len(list))
 	for i, l := range list {
-		out[i] = &rpc.EndpointRest{Endpoint: string(l.Endpoint), Born: int64(l.Born), LeftMilli: time.Until(l.Until).Milliseconds()}
+		out[i] = &rpc.EndpointRest{Endpoint: string(l.Endpoint), Born: int64(l.StartTime), LeftMilli: time.Until(l.Until).Milliseconds()}
 	}
 	return out
 }
--- a/internal/role/gateway/digests.go
+++ b/internal/role/gateway/digests.go
@@ -198,7 +198,7 @@
 // zoneCounts returns the counts of each daemon of the zone, including daemons that have ended.
 func (g *Gateway) zoneCounts(own *rpc.Digest) []*rpc.Digest {
 	var out []*rpc.Digest
-	for _, e := range g.gatherer.Entries(time.Now()) {
+	for _, e := range g.gatherer.Digests(time.Now()) {
 		d := e.Digest
 		if d.GetAvailabilityZone() == string(g.c.Deployment.AvailabilityZone) && len(d.GetCounts())+len(d.GetTrials()) > 0 {
 			out = append(out, countsOf(d))
--- a/internal/role/gateway/duties.go
+++ b/internal/role/gateway/duties.go
@@ -136,7 +136,7 @@
 		if _, held := u.g.lease.Held(); held && !u.g.stopping.Load() {
 			u.notifyCandidates(ctx)
 		}
-		fencing, held := u.g.lease.HeldFor()
+		fencing, held := u.g.lease.HeldExclusively()
 		if !held || u.g.stopping.Load() {
 			return
 		}
@@ -154,7 +154,7 @@
 // mandate returns the proof of the lease for a call. It fails if the lease is no longer held under
 // the fencing number that the caller decided with.
 func (u *duties) mandate(fencing uint64) (platform.LeaseHolder, error) {
-	now, held := u.g.lease.HeldFor()
+	now, held := u.g.lease.HeldExclusively()
 	if !held || now != fencing {
 		return platform.LeaseHolder{}, errNotHeld
 	}
@@ -200,7 +200,7 @@
 func (u *duties) newestDigests(own *rpc.Digest) map[processKey]*rpc.Digest {
 	now := time.Now()
 	out := make(map[processKey]*rpc.Digest)
-	for _, e := range slices.Concat(u.g.gatherer.Entries(now), u.g.relayedDigests.Entries(now), []gatherer.Entry{{Digest: own}}) {
+	for _, e := range slices.Concat(u.g.gatherer.Digests(now), u.g.relayedDigests.Digests(now), []gatherer.Entry{{Digest: own}}) {
 		k := processKey{e.Digest.GetHost(), e.Digest.GetIncarnation()}
 		// Daemons of other zones do not send their counts.
 		if old := out[k]; old == nil || len(old.GetCounts()) == 0 || e.Digest.GetSequence() > old.GetSequence() && len(e.Digest.GetCounts()) > 0 {
@@ -252,7 +252,7 @@
 			addresses = append(addresses, d.Address)
 		}
 	}
-	u.g.syncer.SendNote(ctx, addresses)
+	u.g.syncer.SendNotes(ctx, addresses)
 }
 
 // scalableServices returns the services that can be scaled, with their demand and capacity.
--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -154,7 +154,7 @@
 		Seeds:              []netip.AddrPort{netip.MustParseAddrPort("10.1.0.1:82"), netip.MustParseAddrPort("10.2.0.2:82"), netip.MustParseAddrPort("10.3.0.3:82")},
 		LinkBytesPerSecond: rate,
 		Bounds: deployment.Bounds{
-			DrainTime: applyTime, ApplyTime: applyTime, Grace: 8 * time.Second, LeaseTime: 3 * time.Second,
+			DrainTime: applyTime, ApplyTime: applyTime, GracePeriod: 8 * time.Second, LeaseTime: 3 * time.Second,
 			RetryShare: 0.2, RetryReserve: 160, RetryWindow: 10 * time.Second, QuotaWindow: 8 * time.Second, QuotaOverage: 0.1,
 			UsageWindow: 5 * time.Second, UsageDue: 10 * time.Second, PrefixCacheTTL: 10 * time.Second,
 		},
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -279,13 +279,13 @@
 	g.backoffNotes = newBackoffNoteLimiter()
 	g.registry = registry.New(registry.Config{LeavingHosts: g.leavingHosts, Daemons: g.knownDaemons, RateLimiter: g.pacer})
 	g.splitter = splitter.New(splitter.Config{
-		CanaryShare: d.Bounds.CanaryShare, CanarySlack: d.Bounds.CanarySlack, RollbackTime: d.Bounds.RollbackTime, Now: g.uptime, Daemons: g.fleetSize,
+		CanaryShare: d.Bounds.CanaryShare, CanarySlack: d.Bounds.CanarySlack, RevertTime: d.Bounds.RevertTime, Now: g.uptime, Daemons: g.fleetSize,
 		Endpoints: g.endpointsByVersion, OnPhaseChange: g.logRolloutPhase, OnAnswer: g.countRolloutAnswer,
 	})
 	opened := g.scope.Counter("endpoint_connections_opened")
 	g.sender = sender.New(sender.Config{Dialer: g.c.Network, OnConnect: func() { opened.Inc(1) }})
 	g.quarantine = crashreporter.New(crashreporter.Config{
-		Host: d.Host, Dialer: g.c.Network, Leaving: g.registry.Leaving, OnNews: g.gossipEndings, Logger: g.c.Logger, Metrics: g.scope,
+		Host: d.Host, Dialer: g.c.Network, Leaving: g.registry.Leaving, OnChange: g.gossipEndings, Logger: g.c.Logger, Metrics: g.scope,
 	})
 	relay := relayer.New(relayer.Config{
 		Registry: g.registry, Placer: placer.New(placer.Config{Registry: g.registry, Estimator: &g.estimator, Zone: d.AvailabilityZone}),
@@ -427,7 +427,7 @@
 	case err := <-done:
 		return fmt.Errorf("gateway: %w", err)
 	}
-	g.drain(time.Now().Add(d.Bounds.Grace - exitMargin))
+	g.drain(time.Now().Add(d.Bounds.GracePeriod - exitMargin))
 	cancel()
 	if err := <-done; err != nil && !errors.Is(err, context.Canceled) {
 		g.c.Logger.Warn("supervisor tree ended", "error", err)
--- a/internal/role/gateway/gossip.go
+++ b/internal/role/gateway/gossip.go
@@ -107,7 +107,7 @@
 		out.Speeds = append(out.Speeds, encodeSpeed(name, s))
 	}
 	for _, l := range g.registry.Loads(time.Now()) {
-		out.Loads = append(out.Loads, &rpc.EndpointLoad{Endpoint: string(l.Endpoint), Born: int64(l.Born), TokensPerSecond: l.TokensPerSecond, Running: uint32(l.Running), UnreadTokens: l.PendingPrefill})
+		out.Loads = append(out.Loads, &rpc.EndpointLoad{Endpoint: string(l.Endpoint), Born: int64(l.StartTime), TokensPerSecond: l.TokensPerSecond, Running: uint32(l.Running), UnreadTokens: l.PendingPrefill})
 	}
 	if g.lease != nil {
 		out.HoldsDuties = g.lease.Confirmed()
@@ -185,7 +185,7 @@
 // peerLoads returns the loads of the other daemons, from their digests or from a relay's sum.
 func (g *Gateway) peerLoads(now time.Time) []*rpc.EndpointLoad {
 	if g.isLarge() {
-		return g.aggregator.Others(g.isRelay(), now).GetLoads()
+		return g.aggregator.OthersSum(g.isRelay(), now).GetLoads()
 	}
 	var out []*rpc.EndpointLoad
 	for _, e := range g.gatherer.Latest(now) {
@@ -199,7 +199,7 @@
 // peerDemands returns the demands of the other daemons' clients.
 func (g *Gateway) peerDemands(now time.Time) []*rpc.Demand {
 	if g.isLarge() {
-		return g.aggregator.Others(g.isRelay(), now).GetDemands()
+		return g.aggregator.OthersSum(g.isRelay(), now).GetDemands()
 	}
 	var out []*rpc.Demand
 	for _, e := range g.gatherer.Latest(now) {
--- a/internal/role/gateway/limits.go
+++ b/internal/role/gateway/limits.go
@@ -47,7 +47,7 @@
 	if reply.Limit.Invalid {
 		g.scope.Counter("endpoint_words_unreadable").Inc(1)
 		if g.endpointLogs.Allow() {
-			g.c.Logger.Warn("endpoint sent an unparsable limit", "request", q.ID, "endpoint", pick.Endpoint, "born", pick.Born)
+			g.c.Logger.Warn("endpoint sent an unparsable limit", "request", q.ID, "endpoint", pick.Endpoint, "born", pick.StartTime)
 		}
 		return
 	}
--- a/internal/role/gateway/objects_test.go
+++ b/internal/role/gateway/objects_test.go
@@ -30,7 +30,7 @@
 		view := "unknown"
 		for _, e := range g.registry.Endpoints() {
 			if e.Endpoint == identifier.Endpoint(id) {
-				view = fmt.Sprintf("born %d, leaving %v", e.Born, e.Leaving)
+				view = fmt.Sprintf("born %d, leaving %v", e.StartTime, e.Leaving)
 			}
 		}
 		out[view]++
--- a/internal/role/gateway/rollouts.go
+++ b/internal/role/gateway/rollouts.go
@@ -63,7 +63,7 @@
 // logRolloutPhase counts and logs a change of phase as seen by this daemon.
 func (g *Gateway) logRolloutPhase(c splitter.PhaseChange) {
 	g.scope.Tagged(map[string]string{"service": string(c.Service), "phase": c.After.String()}).Counter("rollout_phases").Inc(1)
-	g.c.Logger.Info("roll-out", "service", c.Service, "target", c.Target, "order", formatOrder(c.Order), "phase", c.After, "before", c.Before,
+	g.c.Logger.Info("roll-out", "service", c.Service, "target", c.Target, "order", formatOrder(c.Order), "phase", c.After, "before", c.Previous,
 		"source", c.Source, "age_ms", c.Age.Milliseconds())
 }
 
@@ -166,7 +166,7 @@
 	}
 	d := u.g.c.Deployment
 	add(&rpc.Digest{Host: string(d.Host), Incarnation: uint64(u.g.started.UnixNano()), Trials: u.g.encodeTrials()}, now)
-	entries := slices.Concat(u.g.gatherer.Entries(now), u.g.relayedDigests.Entries(now))
+	entries := slices.Concat(u.g.gatherer.Digests(now), u.g.relayedDigests.Digests(now))
 	slices.SortFunc(entries, func(a, b gatherer.Entry) int { return cmp.Compare(b.Digest.GetSequence(), a.Digest.GetSequence()) })
 	for _, e := range entries {
 		// Daemons of other zones send the outcomes of their requests only through relays.
@@ -256,7 +256,7 @@
 func (u *duties) logBlockedRollouts(in *promoter.Input) {
 	for i := range in.Orders {
 		o := &in.Orders[i]
-		if o.Phase != rollout.Trying || in.Now.Before(o.LearnedAt.Add(o.Duration)) || in.Now.Sub(u.blockedLoggedAt) < blockedLogInterval {
+		if o.Phase != rollout.Canary || in.Now.Before(o.LearnedAt.Add(o.Duration)) || in.Now.Sub(u.blockedLoggedAt) < blockedLogInterval {
 			continue
 		}
 		if blockers := u.promoter.HoldReason(o, in); blockers != "" {
--- a/internal/role/gateway/rollouts_test.go
+++ b/internal/role/gateway/rollouts_test.go
@@ -82,7 +82,7 @@
 		f.rate = wideLink
 		f.adjust = func(d *deployment.Deployment) {
 			d.Rollouts = true
-			d.Bounds.CanaryShare, d.Bounds.CanarySlack, d.Bounds.RollbackTime = canaryShare, canarySlack, rollbackTime
+			d.Bounds.CanaryShare, d.Bounds.CanarySlack, d.Bounds.RevertTime = canaryShare, canarySlack, rollbackTime
 		}
 		v := &versionFleet{f: f, host: f.network.Host(storeLink), engines: make(map[string][]*http.Server)}
 		v.answers = func(_, path string, _ time.Duration, _ int) (engineAnswer, bool) { return healthyAnswer(path), false }
--- a/internal/role/gateway/size_test.go
+++ b/internal/role/gateway/size_test.go
@@ -52,7 +52,7 @@
 		}
 		return total
 	}
-	for _, c := range g.aggregator.Others(g.isRelay(), time.Now()).GetCharges() {
+	for _, c := range g.aggregator.OthersSum(g.isRelay(), time.Now()).GetCharges() {
 		if c.GetOrganisation() == name {
 			total += c.GetTotal()
 		}
--- a/internal/role/gateway/watchers.go
+++ b/internal/role/gateway/watchers.go
@@ -44,7 +44,7 @@
 				go g.askForChanges(kind, g.mirror.Revision(kind))
 			}
 		},
-		Wait: wait, OnUnreadable: g.logUnreadable,
+		WatchTimeout: wait, OnUnreadable: g.logUnreadable,
 		OnResult: func(err error) {
 			if err == nil {
 				g.storeAnsweredAt.Store(time.Now().UnixNano())
--- a/internal/route/candidate/candidate.go
+++ b/internal/route/candidate/candidate.go
@@ -64,11 +64,11 @@
 	Endpoint    identifier.Endpoint
 	Host        identifier.Host
 	Incarnation identifier.Incarnation
-	// Born identifies the incarnation to other daemons.
-	Born    identifier.StartTime
-	Pool    identifier.Pool
-	Class   document.Class
-	Address string
+	// StartTime identifies the incarnation to other daemons.
+	StartTime identifier.StartTime
+	Pool      identifier.Pool
+	Class     document.Class
+	Address   string
 	// Version is the version of the endpoint's software. VersionRank is its rank among the
 	// endpoints of that version, the same at all daemons.
 	Version     identifier.Version
--- a/internal/route/limiter/limiter.go
+++ b/internal/route/limiter/limiter.go
@@ -51,8 +51,8 @@
 	Rank int
 	// Limit is the organisation's concurrency limit at this daemon, Queue the length of its queue
 	// there.
-	Limit int
-	Queue int
+	Limit      int
+	QueueLimit int
 	// Slots is the number of concurrent requests that the pool takes from this daemon.
 	Slots int
 }
@@ -154,7 +154,7 @@
 		}
 	}
 	wait := l.predict(t, max(ahead, ownWaiting))
-	if ownWaiting >= t.Queue {
+	if ownWaiting >= t.QueueLimit {
 		return &RefusedError{"the organisation's queue is full", max(wait, minRetryAfter)}
 	}
 	if deadline, ok := ctx.Deadline(); ok && time.Now().Add(wait).After(deadline) {
--- a/internal/route/poller/poller.go
+++ b/internal/route/poller/poller.go
@@ -38,7 +38,7 @@
 // Config holds the poller's dependencies.
 type Config struct {
 	Registry *registry.Registry
-	Ledger   *membertracker.Tracker
+	Members  *membertracker.Tracker
 	Caller   *caller.Caller
 	// OnReport is called with each report and the time of its poll, to distribute it.
 	OnReport func(r *report.Report, taken time.Time)
@@ -130,9 +130,9 @@
 
 // observers returns the live daemons of the zone, this one first.
 func (p *Poller) observers() []identifier.Host {
-	self := p.c.Ledger.Self()
+	self := p.c.Members.Self()
 	out := []identifier.Host{identifier.Host(self.Host)}
-	for _, m := range p.c.Ledger.Alive() {
+	for _, m := range p.c.Members.Alive() {
 		if m.AvailabilityZone == self.AvailabilityZone {
 			out = append(out, identifier.Host(m.Host))
 		}
@@ -142,7 +142,7 @@
 
 // observes reports whether this daemon, the first of the observers, observes an endpoint.
 func (p *Poller) observes(c *candidate.Candidate, observers []identifier.Host) bool {
-	if string(c.AvailabilityZone) != p.c.Ledger.Self().AvailabilityZone {
+	if string(c.AvailabilityZone) != p.c.Members.Self().AvailabilityZone {
 		return false
 	}
 	self := weight(observers[0], c.Endpoint)
--- a/internal/route/quarantiner/quarantiner.go
+++ b/internal/route/quarantiner/quarantiner.go
@@ -109,8 +109,8 @@
 	changed time.Time
 }
 
-// Verdict is the decision whether a request may be sent to an endpoint.
-type Verdict struct {
+// Decision is the decision whether a request may be sent to an endpoint.
+type Decision struct {
 	// Held: the request must not be sent. Trial: the request is held, but this arrival may be sent.
 	Held  bool
 	Trial bool
@@ -163,16 +163,16 @@
 
 // Admit decides whether an arrival of a request may be sent to an endpoint now. It must be called
 // again right before each send.
-func (z *Quarantiner) Admit(f identifier.Fingerprint, id identifier.Request) Verdict {
+func (z *Quarantiner) Admit(f identifier.Fingerprint, id identifier.Request) Decision {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	s := z.suspects[f]
 	if s == nil || !s.held {
-		return Verdict{}
+		return Decision{}
 	}
 	now := time.Now()
 	last := s.last()
-	v := Verdict{Endings: s.counting(), RetryAfter: max(last.At.Add(s.pause()).Sub(now), time.Second)}
+	v := Decision{Endings: s.counting(), RetryAfter: max(last.At.Add(s.pause()).Sub(now), time.Second)}
 	if last.Seen == z.c.Host && now.Sub(last.At) >= s.pause() && now.Sub(s.trialAt) >= trialTime {
 		s.trial, s.trialAt = id, now
 	}
--- a/internal/route/registry/backoff.go
+++ b/internal/route/registry/backoff.go
@@ -24,9 +24,9 @@
 
 // Backoff is a pause that an incarnation of an endpoint asked for.
 type Backoff struct {
-	Endpoint identifier.Endpoint
-	Born     identifier.StartTime
-	Until    time.Time
+	Endpoint  identifier.Endpoint
+	StartTime identifier.StartTime
+	Until     time.Time
 }
 
 // BackOff stops requests to the endpoint of a pick for a time that the endpoint asked for. A longer
@@ -74,7 +74,7 @@
 	r.forEach(func(c *candidate.Candidate) {
 		key := incarnationKey{c.Endpoint, c.Incarnation}
 		_, known := r.peerBackoffs[key]
-		if c.Endpoint != b.Endpoint || c.Born != b.Born || !known && len(r.peerBackoffs) >= maxBackoffs {
+		if c.Endpoint != b.Endpoint || c.StartTime != b.StartTime || !known && len(r.peerBackoffs) >= maxBackoffs {
 			return
 		}
 		news = !c.PeerBackoffUntil.After(now)
@@ -97,7 +97,7 @@
 			until = c.PeerBackoffUntil
 		}
 		if until.After(now) {
-			out = append(out, Backoff{c.Endpoint, c.Born, until})
+			out = append(out, Backoff{c.Endpoint, c.StartTime, until})
 		}
 	})
 	slices.SortFunc(out, func(a, b Backoff) int { return cmp.Or(b.Until.Compare(a.Until), cmp.Compare(a.Endpoint, b.Endpoint)) })
--- a/internal/route/registry/choice.go
+++ b/internal/route/registry/choice.go
@@ -59,7 +59,7 @@
 	r.indexer.RecordSent(q.Blocks, id)
 	r.remember(q, c)
 	return &Pick{
-		Endpoint: c.Endpoint, Host: c.Host, Incarnation: c.Incarnation, Born: c.Born, Address: c.Address, Pool: c.Pool,
+		Endpoint: c.Endpoint, Host: c.Host, Incarnation: c.Incarnation, StartTime: c.StartTime, Address: c.Address, Pool: c.Pool,
 		Version: c.Version, Cold: q.Select.Now.Before(c.WarmAt),
 		PricePerSecond: c.PricePerSecond, PredictedFirstToken: d.Chosen.FirstToken, NominalFirstToken: time.Duration(float64(d.Chosen.FirstToken) / max(c.Slowdown, 1)), UncachedTokens: uncached, TokensAhead: ahead, Streams: streams, Activity: c.Activity, id: id, permit: permit,
 	}, d
@@ -105,7 +105,7 @@
 	r.forEach(func(c *candidate.Candidate) {
 		if c.Endpoint == e {
 			c.InFlight++
-			k = &Pick{Endpoint: e, Host: c.Host, Incarnation: c.Incarnation, Born: c.Born, Address: c.Address, Pool: c.Pool, PricePerSecond: c.PricePerSecond, Activity: c.Activity, id: r.id(c)}
+			k = &Pick{Endpoint: e, Host: c.Host, Incarnation: c.Incarnation, StartTime: c.StartTime, Address: c.Address, Pool: c.Pool, PricePerSecond: c.PricePerSecond, Activity: c.Activity, id: r.id(c)}
 		}
 	})
 	return k
--- a/internal/route/registry/limit.go
+++ b/internal/route/registry/limit.go
@@ -10,12 +10,12 @@
 
 // incarnationOf identifies the current incarnation of an endpoint as other daemons know it.
 func incarnationOf(c *candidate.Candidate) pacer.Incarnation {
-	return pacer.Incarnation{Endpoint: c.Endpoint, Born: c.Born}
+	return pacer.Incarnation{Endpoint: c.Endpoint, Born: c.StartTime}
 }
 
 // EndpointIncarnation identifies the incarnation of the chosen endpoint as other daemons know it.
 func (k *Pick) EndpointIncarnation() pacer.Incarnation {
-	return pacer.Incarnation{Endpoint: k.Endpoint, Born: k.Born}
+	return pacer.Incarnation{Endpoint: k.Endpoint, Born: k.StartTime}
 }
 
 // markLimited marks the candidates whose rate limit leaves nothing for this daemon now. The caller
--- a/internal/route/registry/listing.go
+++ b/internal/route/registry/listing.go
@@ -28,9 +28,9 @@
 // maxIDs is the number of incarnations above which those that are not listed are forgotten.
 const maxIDs = 4096
 
-// Apply updates the registry with one platform object, a host or a notice. Other objects are
+// ApplyObject updates the registry with one platform object, a host or a notice. Other objects are
 // ignored.
-func (r *Registry) Apply(o *object.Object) {
+func (r *Registry) ApplyObject(o *object.Object) {
 	switch {
 	case strings.HasPrefix(o.Key, inventory.HostPrefix):
 		r.applyHost(o)
@@ -146,7 +146,7 @@
 	if !ok || c.Incarnation != h.Incarnation {
 		c = candidate.Candidate{Endpoint: e.Endpoint, Hash: hash(e.Endpoint, h.Born), Activity: new(candidate.Activity)}
 	}
-	c.Host, c.Incarnation, c.Born = h.Host, h.Incarnation, h.Born
+	c.Host, c.Incarnation, c.StartTime = h.Host, h.Incarnation, h.Born
 	c.AvailabilityZone, c.Class = h.AvailabilityZone, h.Class
 	c.Pool, c.Address, c.Version = e.Pool, e.Address, e.Version
 	if e.Cold > 0 && (!ok || c.WarmAt.IsZero()) {
--- a/internal/route/registry/load.go
+++ b/internal/route/registry/load.go
@@ -10,8 +10,8 @@
 // Load is the load that this daemon sends to an endpoint.
 type Load struct {
 	Endpoint identifier.Endpoint
-	// Born identifies the endpoint's incarnation.
-	Born identifier.StartTime
+	// StartTime identifies the endpoint's incarnation.
+	StartTime identifier.StartTime
 	candidate.SentLoad
 }
 
@@ -23,7 +23,7 @@
 	var out []Load
 	r.forEach(func(c *candidate.Candidate) {
 		if rate := c.RecentTokenRate(now); rate >= minRate {
-			out = append(out, Load{c.Endpoint, c.Born, candidate.SentLoad{TokensPerSecond: rate, Running: int(c.InFlight), PendingPrefill: c.PendingPrefill()}})
+			out = append(out, Load{c.Endpoint, c.StartTime, candidate.SentLoad{TokensPerSecond: rate, Running: int(c.InFlight), PendingPrefill: c.PendingPrefill()}})
 		}
 	})
 	return out
--- a/internal/route/registry/pick.go
+++ b/internal/route/registry/pick.go
@@ -12,7 +12,7 @@
 	Endpoint    identifier.Endpoint
 	Host        identifier.Host
 	Incarnation identifier.Incarnation
-	Born        identifier.StartTime
+	StartTime   identifier.StartTime
 	Address     string
 	Pool        identifier.Pool
 	Version     identifier.Version
--- a/internal/route/registry/registry_test.go
+++ b/internal/route/registry/registry_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Apply(&object.Object{Key: inventory.HostPrefix + "z/" + host, Value: value})
+	r.ApplyObject(&object.Object{Key: inventory.HostPrefix + "z/" + host, Value: value})
 }
 
 // choose chooses an endpoint for a request without a model.
@@ -58,7 +58,7 @@
 		{"leaving in the host list", func(t *testing.T, r *Registry) { listHost(t, r, "h", 1, inventory.StateLeaving) }, false},
 		{"host replaced", func(t *testing.T, r *Registry) { listHost(t, r, "h", 2, inventory.StateLive) }, false},
 		{"host gone", func(_ *testing.T, r *Registry) {
-			r.Apply(&object.Object{Key: inventory.HostPrefix + "z/h", Deleted: true})
+			r.ApplyObject(&object.Object{Key: inventory.HostPrefix + "z/h", Deleted: true})
 		}, false},
 	}
 	for _, c := range cases {
--- a/internal/route/registry/silence_test.go
+++ b/internal/route/registry/silence_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.Apply(&object.Object{Key: inventory.HostPrefix + zone + "/" + host, Value: value})
+	r.ApplyObject(&object.Object{Key: inventory.HostPrefix + zone + "/" + host, Value: value})
 }
 
 // streamingPool lists three endpoints in each of four zones and starts a stream at the first two of
--- a/internal/route/splitter/grant.go
+++ b/internal/route/splitter/grant.go
@@ -83,8 +83,8 @@
 
 // grantTime returns how long a grant is valid, given the configured RollbackTime.
 func (s *Splitter) grantTime() time.Duration {
-	if s.c.RollbackTime <= 0 {
+	if s.c.RevertTime <= 0 {
 		return grantTime
 	}
-	return min(grantTime, time.Duration(grantFraction*float64(s.c.RollbackTime)))
+	return min(grantTime, time.Duration(grantFraction*float64(s.c.RevertTime)))
 }
--- a/internal/route/splitter/order.go
+++ b/internal/route/splitter/order.go
@@ -11,10 +11,10 @@
 
 // PhaseChange is a change of the phase of a roll-out as this daemon knows it.
 type PhaseChange struct {
-	Service       identifier.Service
-	Target        identifier.Version
-	Order         uint64
-	Before, After rollout.Phase
+	Service         identifier.Service
+	Target          identifier.Version
+	Order           uint64
+	Previous, After rollout.Phase
 	// Source is the store or the host that reported the phase. Age is the time since the report.
 	Source string
 	Age    time.Duration
@@ -139,7 +139,7 @@
 		v.changedAt = now
 	}
 	return PhaseChange{
-		Service: v.order.Service, Target: v.order.Target, Order: v.order.OrderID(), Before: before, After: after, Source: source, Age: age,
+		Service: v.order.Service, Target: v.order.Target, Order: v.order.OrderID(), Previous: before, After: after, Source: source, Age: age,
 	}, after != before
 }
 
--- a/internal/route/splitter/splitter.go
+++ b/internal/route/splitter/splitter.go
@@ -76,8 +76,8 @@
 	// CanarySlack is the number of requests tolerated beyond it.
 	CanaryShare float64
 	CanarySlack float64
-	// RollbackTime is the time within which a bad version must be abandoned; 0 for no limit.
-	RollbackTime time.Duration
+	// RevertTime is the time within which a bad version must be abandoned; 0 for no limit.
+	RevertTime time.Duration
 	// Now returns the current time of a clock that continues while the host is suspended, because
 	// others compare its times with those of the holder; time.Now if nil.
 	Now func() time.Time
@@ -162,12 +162,12 @@
 		return selector.VersionFilter{Only: target, AllowFallback: true}
 	case q.Repeated:
 		return old
-	case p == rollout.Moving && v.outlasts(q, now) && v.moveBudget+v.canaryBudget >= 1:
+	case p == rollout.Migrating && v.outlasts(q, now) && v.moveBudget+v.canaryBudget >= 1:
 		// The rest of the canary budget is spent, too: there have been enough canary requests by
 		// now.
 		v.moveBudget--
 		return selector.VersionFilter{Only: target, AllowFallback: true}
-	case p >= rollout.Trying && s.isCanary(v, q, now):
+	case p >= rollout.Canary && s.isCanary(v, q, now):
 		v.canaryBudget--
 		return selector.VersionFilter{Only: target, MaxEndpoints: s.canaryEndpoints(v), AllowFallback: true}
 	}
--- a/internal/route/splitter/splitter_test.go
+++ b/internal/route/splitter/splitter_test.go
@@ -25,7 +25,7 @@
 	d := &daemons{now: time.Unix(1e9, 0), r: &rollout.Rollout{Service: lm, Target: "v2", Duration: 30 * time.Second, Revision: 1}}
 	for range n {
 		s := New(Config{
-			CanaryShare: 0.1, CanarySlack: 50, RollbackTime: 5 * time.Second, Daemons: func() int { return n }, Now: func() time.Time { return d.now }, Random: random,
+			CanaryShare: 0.1, CanarySlack: 50, RevertTime: 5 * time.Second, Daemons: func() int { return n }, Now: func() time.Time { return d.now }, Random: random,
 			Endpoints: func(identifier.Service) map[identifier.Version]int {
 				return map[identifier.Version]int{"v1": 40, "v2": 40}
 			},
@@ -59,7 +59,7 @@
 			d.applyOrder(s)
 		}
 		var grants []Grant
-		phase, sequence, sent, canaries := rollout.Trying, uint64(0), 0, 0
+		phase, sequence, sent, canaries := rollout.Canary, uint64(0), 0, 0
 		final := make([]rollout.Phase, n)
 		last := make([]time.Time, n)
 		for range rapid.IntRange(1, 300).Draw(t, "steps") {
@@ -131,9 +131,9 @@
 	if o := s.Orders()[0]; o.Phase != rollout.Ordered {
 		t.Errorf("phase %v of the second order, want ordered", o.Phase)
 	}
-	d.r.Revision, d.r.Stored = 4, rollout.Trying
+	d.r.Revision, d.r.Stored = 4, rollout.Canary
 	d.applyOrder(s)
-	if o := s.Orders()[0]; o.Phase != rollout.Trying {
+	if o := s.Orders()[0]; o.Phase != rollout.Canary {
 		t.Errorf("phase %v once it is stored, want trying", o.Phase)
 	}
 	d.r.Revision, d.r.Stored, d.r.Target = 5, rollout.Ordered, "v3"
@@ -166,7 +166,7 @@
 	d := newDaemons(1, func() float64 { return 0 })
 	s := d.list[0]
 	d.applyOrder(s)
-	g := Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: rollout.Trying, Fencing: 1, Sequence: 1, IssuedAt: d.now, OldEndAt: d.now.Add(time.Minute)}
+	g := Grant{Service: lm, Target: "v2", Order: d.r.OrderID(), Phase: rollout.Canary, Fencing: 1, Sequence: 1, IssuedAt: d.now, OldEndAt: d.now.Add(time.Minute)}
 	s.ApplyGrant(&g, "holder")
 	for range 200 {
 		if choose(s).Only == "v2" {
--- a/internal/serve/forwarder/forwarder_test.go
+++ b/internal/serve/forwarder/forwarder_test.go
@@ -61,7 +61,7 @@
 		}})
 	}
 	m.reporter = crashreporter.New(crashreporter.Config{
-		Host: "entry-1", Dialer: &net.Dialer{}, Leaving: m.registry.Leaving, OnNews: func(bool) {},
+		Host: "entry-1", Dialer: &net.Dialer{}, Leaving: m.registry.Leaving, OnChange: func(bool) {},
 		Logger: log.New(io.Discard), Metrics: tally.NoopScope,
 	})
 	return m
--- a/internal/serve/handler/decision.go
+++ b/internal/serve/handler/decision.go
@@ -105,9 +105,9 @@
 	begun := time.Now()
 	release, err := h.c.Limiter.Acquire(ctx, &limiter.Ticket{
 		Organisation: c.Organisation.Name, Pool: c.Pool.Name, Rank: c.Plan.PriorityRank(c.Priority),
-		Limit: limiter.Share(c.Organisation.Concurrency, h.c.Registry.ZoneCount(), h.c.Daemons.AliveInZone(h.c.Zone)),
-		Queue: c.Organisation.Queue,
-		Slots: max(h.c.Registry.Capacity(c.Pool.Name, c.Pool.MaxInFlight), 1),
+		Limit:      limiter.Share(c.Organisation.Concurrency, h.c.Registry.ZoneCount(), h.c.Daemons.AliveInZone(h.c.Zone)),
+		QueueLimit: c.Organisation.Queue,
+		Slots:      max(h.c.Registry.Capacity(c.Pool.Name, c.Pool.MaxInFlight), 1),
 	})
 	rec.WaitedMS = float64(time.Since(begun).Microseconds()) / 1000
 	var refused *limiter.RefusedError
--- a/internal/serve/handler/handler.go
+++ b/internal/serve/handler/handler.go
@@ -62,21 +62,21 @@
 
 // Config holds the dependencies of a Handler.
 type Config struct {
-	Host      identifier.Host
-	Zone      identifier.AvailabilityZone
-	Keeper    *keeper.Keeper
-	Parser    *parser.Parser
-	Limiter   *limiter.Limiter
-	Registry  *registry.Registry
-	Claimer   *claimer.Claimer
-	Streamer  *streamer.Streamer
-	Forwarder *forwarder.Forwarder
-	Carrier   *transferrer.Transferrer
-	Sealer    *sealer.Sealer
-	Recorder  *recorder.Recorder
-	Daemons   Daemons
-	Logger    *log.Logger
-	Metrics   tally.Scope
+	Host        identifier.Host
+	Zone        identifier.AvailabilityZone
+	Keeper      *keeper.Keeper
+	Parser      *parser.Parser
+	Limiter     *limiter.Limiter
+	Registry    *registry.Registry
+	Claimer     *claimer.Claimer
+	Streamer    *streamer.Streamer
+	Forwarder   *forwarder.Forwarder
+	Transferrer *transferrer.Transferrer
+	Sealer      *sealer.Sealer
+	Recorder    *recorder.Recorder
+	Daemons     Daemons
+	Logger      *log.Logger
+	Metrics     tally.Scope
 	// EarnRetry is called once for each request, to fill the retry budget.
 	EarnRetry func()
 }
--- a/internal/serve/handler/model.go
+++ b/internal/serve/handler/model.go
@@ -33,12 +33,12 @@
 	seal := func(holders []netip.AddrPort) string { return h.seal(j, holders) }
 	var out answerWriter = &jsonWriter{j: j}
 	if j.Call.Streaming && j.Call.HoldFor == "" {
-		out = &sseWriter{w: w, j: j, seal: seal, selfAddresses: h.c.Carrier.SelfAddresses()}
+		out = &sseWriter{w: w, j: j, seal: seal, selfAddresses: h.c.Transferrer.SelfAddresses()}
 	}
 	err := h.c.Streamer.Run(ctx, j, out)
 	switch {
 	case err == nil:
-		h.c.Carrier.Drop(j.Call.Organisation.Name, j.Call.Instance)
+		h.c.Transferrer.Drop(j.Call.Organisation.Name, j.Call.Instance)
 		h.sendComplete(ctx, w, j, out, claim)
 	case errors.Is(err, streamer.ErrHandOver):
 		h.handOver(w, j, out, claim, seal)
@@ -64,7 +64,7 @@
 func (h *Handler) endInterrupted(w http.ResponseWriter, j *streamer.Job, out answerWriter, claim *claimer.Claim, err error) {
 	var problem *refusal.Problem
 	if !errors.As(err, &problem) {
-		h.c.Carrier.StoreLocal(envelope(j, claim))
+		h.c.Transferrer.StoreLocal(envelope(j, claim))
 		return
 	}
 	settleClaim(claim, err, 0, "", nil)
@@ -73,7 +73,7 @@
 
 // handOver gives the job's state to peers and tells the caller where to resume.
 func (h *Handler) handOver(w http.ResponseWriter, j *streamer.Job, out answerWriter, claim *claimer.Claim, seal func([]netip.AddrPort) string) {
-	holders := h.c.Carrier.HandOver(context.Background(), envelope(j, claim))
+	holders := h.c.Transferrer.HandOver(context.Background(), envelope(j, claim))
 	if len(holders) == 0 {
 		outcome := refusal.NotRun
 		if j.Stream != "" {
--- a/internal/serve/handler/resume.go
+++ b/internal/serve/handler/resume.go
@@ -29,7 +29,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), c.Timeout)
 	defer cancel()
-	if e, ok := h.c.Carrier.Fetch(ctx, t); ok {
+	if e, ok := h.c.Transferrer.Fetch(ctx, t); ok {
 		h.continueRequest(ctx, w, e, t, rec)
 		return
 	}
@@ -67,7 +67,7 @@
 		h.refuseEarly(w, r, refusal.New(refusal.ResumeRefused, "the token is not valid here or has expired"))
 		return
 	}
-	e, ok := h.c.Carrier.Fetch(r.Context(), t)
+	e, ok := h.c.Transferrer.Fetch(r.Context(), t)
 	if !ok {
 		h.refuseEarly(w, r, refusal.New(refusal.StreamLost, "no host holds this answer any more").WithOutcome(refusal.Unknown))
 		return
@@ -147,7 +147,7 @@
 	}
 	missing := j.Delivered[offset:]
 	seal := func(holders []netip.AddrPort) string { return h.seal(j, holders) }
-	out := &sseWriter{w: w, j: j, seal: seal, selfAddresses: h.c.Carrier.SelfAddresses()}
+	out := &sseWriter{w: w, j: j, seal: seal, selfAddresses: h.c.Transferrer.SelfAddresses()}
 	delivered := j.Delivered
 	for i, text := range missing {
 		j.Offset = offset + i + 1
--- a/internal/serve/handler/witness.go
+++ b/internal/serve/handler/witness.go
@@ -78,7 +78,7 @@
 func (h *Handler) hold(ctx context.Context, w http.ResponseWriter, e *rpc.Envelope, f *finishedAnswer) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), holdTimeout)
 	defer cancel()
-	holders := h.c.Carrier.HoldAnswer(ctx, e)
+	holders := h.c.Transferrer.HoldAnswer(ctx, e)
 	token := h.c.Sealer.Seal(&sealer.Token{Organisation: f.c.Organisation.Name, Instance: f.c.Instance, Holders: holders})
 	f.rec.Witness = "held until " + e.HoldFor + " acknowledges"
 	settleClaim(f.claim, nil, http.StatusAccepted, heldContentType, []byte(token))
--- a/internal/serve/receiver/receiver.go
+++ b/internal/serve/receiver/receiver.go
@@ -60,7 +60,7 @@
 
 // Quarantine decides which requests may not reach endpoints.
 type Quarantine interface {
-	Admit(f identifier.Fingerprint, id identifier.Request) quarantiner.Verdict
+	Admit(f identifier.Fingerprint, id identifier.Request) quarantiner.Decision
 }
 
 // Observer is notified of the end of each request.
--- a/internal/serve/relayer/attempt.go
+++ b/internal/serve/relayer/attempt.go
@@ -149,9 +149,9 @@
 }
 
 // newMessage builds the message that is sent to an endpoint.
-func (j *job) newMessage(pick *registry.Pick) *sender.Message {
+func (j *job) newMessage(pick *registry.Pick) *sender.Request {
 	codec := j.r.c.Codec
-	return &sender.Message{
+	return &sender.Request{
 		Address: pick.Address, Method: j.q.Method, Target: j.q.Target, Host: j.q.Host, Body: j.q.Body,
 		Header: codec.EncodeRequest(j.q, pick.Endpoint, time.Until(j.q.Deadline()), j.lastEvent),
 		// Connecting takes time. Meanwhile the endpoint may have begun to leave, or
@@ -169,7 +169,7 @@
 
 // relayReply relays an endpoint's reply to the client. responded is called when the
 // first whole event of a stream has arrived.
-func (j *job) relayReply(ctx context.Context, x *sender.Exchange, reply *request.Reply, pick *registry.Pick, begun time.Time, responded func()) error {
+func (j *job) relayReply(ctx context.Context, x *sender.Response, reply *request.Reply, pick *registry.Pick, begun time.Time, responded func()) error {
 	success := reply.Status >= http.StatusOK && reply.Status < http.StatusMultipleChoices
 	if success && (!reply.Signed || reply.Encoded || reply.ID != j.q.ID) {
 		return fmt.Errorf("%w: not signed, encoded or of another request", sender.ErrBadResponse)
--- a/internal/serve/relayer/quarantine.go
+++ b/internal/serve/relayer/quarantine.go
@@ -15,7 +15,7 @@
 var errQuarantined = errors.New("withdrawn, as other endpoints ended under the request")
 
 // admit decides whether the quarantine lets the request be sent now.
-func (j *job) admit() quarantiner.Verdict {
+func (j *job) admit() quarantiner.Decision {
 	return j.r.c.Quarantine.Admit(j.q.Fingerprint(), j.q.ID)
 }
 
@@ -27,12 +27,12 @@
 }
 
 // QuarantineRefusal returns the refusal of a request that is quarantined and was not sent.
-func QuarantineRefusal(v *quarantiner.Verdict) *Refusal {
+func QuarantineRefusal(v *quarantiner.Decision) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Reason: "not run: " + quarantineReason(v), RetryAfter: v.RetryAfter}
 }
 
 // quarantineReason says why a request is quarantined: which endpoints ended, and when.
-func quarantineReason(v *quarantiner.Verdict) string {
+func quarantineReason(v *quarantiner.Decision) string {
 	endings := make([]string, len(v.Endings))
 	now := time.Now()
 	for i, e := range v.Endings {
--- a/internal/serve/relayer/relayer.go
+++ b/internal/serve/relayer/relayer.go
@@ -124,7 +124,7 @@
 // Quarantine holds back requests that bring endpoints down.
 type Quarantine interface {
 	// Admit decides whether a request may be sent. It is called right before each send.
-	Admit(f identifier.Fingerprint, id identifier.Request) quarantiner.Verdict
+	Admit(f identifier.Fingerprint, id identifier.Request) quarantiner.Decision
 	// Track registers an attempt until leave is called. withdraw is called if the
 	// request is quarantined meanwhile.
 	Track(f identifier.Fingerprint, withdraw func()) (leave func())
--- a/internal/serve/relayer/stream.go
+++ b/internal/serve/relayer/stream.go
@@ -23,7 +23,7 @@
 // relayStream relays events as they arrive. Only whole events are passed on: a partial
 // event from an engine that broke off must not precede the same event from another
 // engine.
-func (j *job) relayStream(ctx context.Context, x *sender.Exchange, pick *registry.Pick, begun time.Time, responded func()) error {
+func (j *job) relayStream(ctx context.Context, x *sender.Response, pick *registry.Pick, begun time.Time, responded func()) error {
 	buffer := make([]byte, 0, readBytes)
 	chunk := make([]byte, readBytes)
 	var first time.Time
@@ -71,7 +71,7 @@
 
 // writeEvents checks the numbers of whole events and writes those that the client
 // does not have.
-func (j *job) writeEvents(x *sender.Exchange, whole []byte) error {
+func (j *job) writeEvents(x *sender.Response, whole []byte) error {
 	out := whole[:0:0]
 	for len(whole) > 0 {
 		event, rest := cutEvent(whole)
@@ -108,7 +108,7 @@
 
 // writeHead sends the header of the first engine's answer. It stays the same when
 // the stream continues on another engine.
-func (j *job) writeHead(x *sender.Exchange) {
+func (j *job) writeHead(x *sender.Response) {
 	h := j.w.Header()
 	for name, values := range j.r.c.Codec.ReplyHeader(x.Header) {
 		h[name] = values
--- a/internal/serve/transferrer/transferrer.go
+++ b/internal/serve/transferrer/transferrer.go
@@ -42,8 +42,8 @@
 
 // Config holds the dependencies of a Transferrer.
 type Config struct {
-	Ledger *membertracker.Tracker
-	Holder *retainer.Retainer
+	Ledger   *membertracker.Tracker
+	Retainer *retainer.Retainer
 	// Peer returns a client for a peer's address.
 	Peer func(address string) rpc.Peer
 	// Store keeps held answers.
@@ -84,11 +84,11 @@
 }
 
 // StoreLocal stores an envelope at this daemon.
-func (c *Transferrer) StoreLocal(e *rpc.Envelope) { c.c.Holder.Keep(e) }
+func (c *Transferrer) StoreLocal(e *rpc.Envelope) { c.c.Retainer.Keep(e) }
 
 // Drop deletes the state of a request whose answer was delivered completely.
 func (c *Transferrer) Drop(o identifier.Organisation, instance identifier.Request) {
-	c.c.Holder.Drop(o, instance)
+	c.c.Retainer.Drop(o, instance)
 }
 
 // HoldAnswer stores an answer that waits for its witness on the platform, since the answer
@@ -103,7 +103,7 @@
 	if err == nil || errors.Is(err, object.ErrConflict) {
 		return nil
 	}
-	c.c.Holder.Keep(e)
+	c.c.Retainer.Keep(e)
 	return append(c.SelfAddresses(), c.HandOver(ctx, e)...)
 }
 
@@ -181,7 +181,7 @@
 // Fetch looks for the envelope of a token at this daemon, then at the token's holders, and
 // last on the platform.
 func (c *Transferrer) Fetch(ctx context.Context, t *sealer.Token) (*rpc.Envelope, bool) {
-	if e, ok := c.c.Holder.Fetch(t.Organisation, t.Instance); ok {
+	if e, ok := c.c.Retainer.Fetch(t.Organisation, t.Instance); ok {
 		return e, true
 	}
 	own := c.c.Ledger.Self().PeerAddress
--- a/internal/standin/platform/cloud.go
+++ b/internal/standin/platform/cloud.go
@@ -112,7 +112,7 @@
 	h, ok := p.find(host)
 	p.mu.Unlock()
 	if ok {
-		p.Announce(inventory.Notice{
+		p.AnnounceReclaim(inventory.Notice{
 			Host: host, AvailabilityZone: h.AvailabilityZone, Incarnation: h.Incarnation, Deadline: time.Now().Add(p.c.StopNotice),
 		})
 	}
@@ -140,7 +140,7 @@
 	}
 	p.mu.Unlock()
 	for _, h := range hosts {
-		p.Announce(inventory.Notice{Host: h.Host, AvailabilityZone: h.AvailabilityZone, Incarnation: h.Incarnation, Deadline: wave.Deadline})
+		p.AnnounceReclaim(inventory.Notice{Host: h.Host, AvailabilityZone: h.AvailabilityZone, Incarnation: h.Incarnation, Deadline: wave.Deadline})
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
@@ -157,7 +157,7 @@
 		_ = started.server.Close()
 	}
 	place := string(n.AvailabilityZone) + "/" + string(n.Host)
-	time.AfterFunc(p.c.HostLag, func() {
+	time.AfterFunc(p.c.HostListLag, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for _, key := range []string{inventory.HostPrefix + place, inventory.NoticePrefix + place} {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -56,8 +56,8 @@
 
 // Config sets the delays of the platform.
 type Config struct {
-	// HostLag is the time until a change of a host appears in the list.
-	HostLag time.Duration
+	// HostListLag is the time until a change of a host appears in the list.
+	HostListLag time.Duration
 	// StartTime is the time that a host takes to start, StopNotice the time from
 	// the notice to the end of a host that is stopped.
 	StartTime  time.Duration
@@ -356,16 +356,16 @@
 	p.mu.Lock()
 	p.registered[h.Host] = h
 	p.mu.Unlock()
-	time.AfterFunc(p.c.HostLag, func() { p.write(key, value) })
+	time.AfterFunc(p.c.HostListLag, func() { p.write(key, value) })
 }
 
-// Announce publishes a reclaim notice at once, marks the host as leaving in the list
+// AnnounceReclaim publishes a reclaim notice at once, marks the host as leaving in the list
 // after the lag, and removes the host at the deadline.
-func (p *Platform) Announce(n inventory.Notice) {
+func (p *Platform) AnnounceReclaim(n inventory.Notice) {
 	value, _ := json.Marshal(n)
 	place := string(n.AvailabilityZone) + "/" + string(n.Host)
 	p.write(inventory.NoticePrefix+place, value)
-	time.AfterFunc(p.c.HostLag, func() { p.markLeaving(inventory.HostPrefix + place) })
+	time.AfterFunc(p.c.HostListLag, func() { p.markLeaving(inventory.HostPrefix + place) })
 	time.AfterFunc(time.Until(n.Deadline), func() { p.removeHost(&n) })
 }
 
@@ -402,7 +402,7 @@
 	if !readJSON(w, r, &n) {
 		return
 	}
-	p.Announce(n)
+	p.AnnounceReclaim(n)
 	w.WriteHeader(http.StatusNoContent)
 }
 
--- a/internal/standin/starter/starter.go
+++ b/internal/standin/starter/starter.go
@@ -171,7 +171,7 @@
 			Endpoint: identifier.Endpoint(s.name), Incarnation: s.host.Incarnation, Deduplicates: s.deduplicates,
 		})
 	}
-	return platform.New(platform.Config{HostLag: s.hostLag, StartTime: s.startTime, StopNotice: s.stopNotice})
+	return platform.New(platform.Config{HostListLag: s.hostLag, StartTime: s.startTime, StopNotice: s.stopNotice})
 }
 
 // register registers the host with the platform. It retries, as the platform may start
