--- a/internal/fleet/auditor/auditor.go
+++ b/internal/fleet/auditor/auditor.go
@@ -51,7 +51,8 @@
 	What    string
 	Cause   string
 	Outcome string
-	// ID is unique. A writer whose answer was lost finds its entry by it.
+	// ID is unique. A writer whose write got no answer uses it to find out whether the entry was
+	// stored.
 	ID string
 }
 
--- a/internal/fleet/autoscaler/autoscaler.go
+++ b/internal/fleet/autoscaler/autoscaler.go
@@ -6,12 +6,12 @@
 // differs. This makes up for an order whose answer was lost, and replaces an order of a
 // previous lease holder.
 //
-// Scaling up is immediate, scaling down is delayed: a fleet that follows each dip of the load
-// pays for engines that start with empty caches. A number is lowered only when a lower one has
-// been wanted for [shrinkDelay], or [shrinkDelayOnDemand]. The required number is held for
-// [demandHold] after a peak and then decays with [demandDecay]. A new lease holder knows
-// neither its predecessor's orders nor, after a mass failure, the load: it takes the endpoints
-// that it finds as the required number.
+// Scaling up is immediate, scaling down is delayed: a fleet that follows each dip of the load pays
+// for engines that start with empty caches. A number is lowered only when a lower one has been
+// wanted for [shrinkDelay], or [shrinkDelayOnDemand]. The required number is held for [demandHold]
+// after a peak and then decays with [demandDecay]. A new lease holder has no record of its
+// predecessor's orders and, after a mass failure, none of the load: it takes the number of listed
+// endpoints as the required number.
 //
 // The reclaimable endpoints of a zone are reclaimed all at once, at two seconds' notice, and no
 // others are available there for a while; the next zone often follows. A loss is therefore
@@ -92,7 +92,7 @@
 type Config struct {
 	SetDesired func(ctx context.Context, fencing uint64, s identifier.Service, z identifier.AvailabilityZone, class document.Class, wanted int) error
 	Logger     *log.Logger
-	// FirstStart tells that the whole fleet starts for the first time and has no load yet.
+	// FirstStart is set if the whole fleet starts for the first time and has no load yet.
 	FirstStart bool
 }
 
@@ -171,8 +171,8 @@
 	at      time.Time
 }
 
-// update records the current number and returns the number to go by. An earlier peak is kept
-// for demandHold and then decays.
+// update records the current number and returns the number to use. An earlier peak is kept for
+// demandHold and then decays.
 func (n *peak) update(engines float64, now time.Time) float64 {
 	sinceHold := max(now.Sub(n.at)-demandHold, 0)
 	if decayed := n.engines * math.Exp(-sinceHold.Seconds()/demandDecay.Seconds()); engines < decayed {
@@ -193,8 +193,8 @@
 	}
 }
 
-// Step sends the orders that are due. Another fencing number than at the last step discards
-// what is known of earlier orders and peaks.
+// Step sends the orders that are due. A fencing number that differs from the one of the last step
+// discards the recorded orders and peaks.
 func (a *Autoscaler) Step(ctx context.Context, fencing uint64, services []Service) {
 	if fencing != a.fencing {
 		a.fencing = fencing
@@ -278,18 +278,19 @@
 	return p
 }
 
-// serving returns the number of endpoints that serve the load: all but those of the fullest
-// zone, which are spare for the loss of a zone. Where all other zones have lost theirs, the
-// last zone's endpoints serve the load: a lease holder that knew of nothing else counted them
-// as spare and gave them back.
+// serving returns the number of endpoints that serve the load: all but those of the fullest zone,
+// which are spare for the loss of a zone. Where all other zones have lost theirs, the last zone's
+// endpoints serve the load: a new lease holder, which has not seen the others, would otherwise
+// count them as spare and give them back.
 func (p pool) serving() float64 {
 	return float64(p.onDemand + max(p.reclaimable-p.fullest, p.fullest))
 }
 
-// beforeReclaims returns how many endpoints would serve if each zone had as many reclaimable
-// ones as the fullest, as each had before some were reclaimed: a lease holder that has started
-// since can't know of them. Measuring growth by what three reclaims and a mass restart had left
-// made a fleet order one endpoint per zone where a hundred were needed.
+// beforeReclaims returns how many endpoints would serve if each zone had as many reclaimable ones
+// as the fullest, as each had before some were reclaimed: a lease holder that started after the
+// reclaims has not seen the earlier number. With growth measured from the endpoints left after
+// three reclaims and a mass restart, a fleet ordered one endpoint per zone where a hundred were
+// needed.
 func (p pool) beforeReclaims() float64 {
 	return float64(p.onDemand + p.fullest*max(p.zones-1, 1))
 }
--- a/internal/fleet/autoscaler/autoscaler_test.go
+++ b/internal/fleet/autoscaler/autoscaler_test.go
@@ -247,8 +247,8 @@
 	})
 }
 
-// Guards against a scale-down at the first load. A fleet starts 15 s before its first clients.
-// Reclaimable engines had replaced the on-demand ones by then, which were given back in the
+// Guards against a scale-down at the first load. A fleet starts 15 s before its first clients. In
+// that time reclaimable engines had replaced the on-demand ones, so these were given back in the
 // second in which the load began, with all caches cold and the first reclaim under way.
 func TestNoShrinkAtFirstLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -296,11 +296,11 @@
 		c.reclaimable["a"], c.unavailable = 25, true
 		a := newAutoscaler(c, false)
 		run(a, c, 2, 300_000, 1500*time.Millisecond)
-		// part is the number in each zone; three zones of that size serve the load.
-		const needed, part = 71, 24
+		// perZone is the number in each zone; three zones of that size serve the load.
+		const needed, perZone = 71, 24
 		for range 30 {
 			run(a, c, 2, needed*14_000, 500*time.Millisecond)
-			if got := c.reclaimable["a"]; got < part {
+			if got := c.reclaimable["a"]; got < perZone {
 				t.Fatalf("%d engines in the remaining zone, 25 before", got)
 			}
 		}
--- a/internal/fleet/leaser/hosted_test.go
+++ b/internal/fleet/leaser/hosted_test.go
@@ -60,8 +60,8 @@
 	})
 }
 
-// A holder that renews regularly need not read what it wrote itself, and the other candidates
-// need not read the lease while a peer tells them who holds it.
+// A holder that renews regularly need not read what it wrote itself, and the other candidates need
+// not read the lease while a peer reports that another one holds it.
 func TestStoreCallsOfHolderAndFollower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &countingStore{store: new(store)}
--- a/internal/fleet/leaser/leaser.go
+++ b/internal/fleet/leaser/leaser.go
@@ -1,17 +1,16 @@
-// Package leaser implements a lease that at most one candidate holds at a time: the lead of a
-// zone or a duty of the fleet.
+// Package leaser implements a lease that at most one candidate holds at a time: for the control of
+// a zone, or for a duty of the whole fleet.
 //
 // The lease is one object in the platform's store. Its holder renews it by conditional update;
 // a candidate that sees it unchanged for its whole duration, by the candidate's own monotonic
 // clock, may take it over. Clocks of different hosts are never compared. Each takeover raises
 // the fencing number, which never falls, as the object is never deleted.
 //
-// A lease may expire while its holder is paused and does not know it. The holder's own expiry
-// is therefore counted from before its last renewal was sent, and ends a margin early;
-// [Leaser.Held] is called right before each order. An order may still be in flight when the
-// lease expires: engines that honour fencing refuse it once they have had an order of the
-// successor, and for engines that don't the successor waits [MaxOrderDelay] before its first
-// order.
+// A lease may expire while its holder is paused, without the holder noticing. The holder's own
+// expiry is therefore counted from before its last renewal was sent, and ends a margin early;
+// [Leaser.Held] is called right before each order. An order may still be in flight when the lease
+// expires: engines that honour fencing refuse it once they have had an order of the successor, and
+// for engines that don't the successor waits [MaxOrderDelay] before its first order.
 //
 // A renewal whose answer is lost may or may not have taken effect. The holder does not count on
 // it; it reads the lease and continues from what it finds.
@@ -84,7 +83,7 @@
 	Duration      time.Duration
 	// Renewal makes each write differ, so that a renewal changes the object's version.
 	Renewal uint64
-	// Released tells that the holder has given up the lease and any candidate may take it.
+	// Released is set if the holder has given up the lease, so that any candidate may take it.
 	Released bool `json:",omitempty"`
 }
 
@@ -100,7 +99,7 @@
 	// seenVersion is the version last observed, seenSince when it was first observed.
 	seenVersion uint64
 	seenSince   time.Time
-	// confirmed tells that seenVersion is the version of this candidate's last write.
+	// confirmed is set if seenVersion is the version of this candidate's last write.
 	confirmed bool
 }
 
@@ -190,7 +189,7 @@
 }
 
 // tryAcquire reads the lease and renews it or takes it over if permitted. A holder whose last
-// renewal was acknowledged knows the version and renews without reading.
+// renewal was acknowledged has the version and renews without reading.
 func (l *Leaser) tryAcquire(ctx context.Context) {
 	start := l.c.Now()
 	if l.Confirmed() {
--- a/internal/fleet/promoter/evidence.go
+++ b/internal/fleet/promoter/evidence.go
@@ -11,9 +11,9 @@
 )
 
 const (
-	// revertThreshold is how unlikely the bad answers must be, had the version been as good as
-	// the old one, for it to be reverted: their likelihood is at most e to the power of its
-	// negative. From holdThreshold on the roll-out does not advance.
+	// A version is reverted if the likelihood of its bad answers, assuming that it is as good as
+	// the old version, is at most e to the power of -revertThreshold. At e to the power of
+	// -holdThreshold or less the roll-out does not advance.
 	revertThreshold = 7.5
 	holdThreshold   = 3.5
 	// minBad is the least number of bad answers for which a version may be held or reverted.
@@ -56,8 +56,8 @@
 // Evidence is the result of comparing the answers of two versions.
 type Evidence struct {
 	New, Old Counts
-	// RevertReason states why the version is bad, empty if it is not; HoldReason why that can't
-	// be decided yet.
+	// RevertReason states why the version is bad, empty if it is not. HoldReason states why that
+	// can't be decided yet.
 	RevertReason, HoldReason string
 }
 
@@ -143,10 +143,10 @@
 	}
 	recent := all.since(&t.history[0])
 	for _, s := range []struct {
-		when string
-		of   *snapshot
+		when   string
+		counts *snapshot
 	}{{"since the order", &all}, {"recently", &recent}} {
-		for name, r := range s.of.routes {
+		for name, r := range s.counts.routes {
 			worst := r.worst()
 			if worst.weight < holdThreshold {
 				continue
--- a/internal/fleet/promoter/promoter.go
+++ b/internal/fleet/promoter/promoter.go
@@ -8,12 +8,12 @@
 // version as good as the old one: on all routes or on one of them, since the order or recently,
 // and not at a single endpoint alone.
 //
-// A bad version must not have had more than its share of the requests by the order's deadline,
-// and a good one must be complete by then. So most requests move as late as they can: for
+// A bad version must not have had more than its share of the requests before the order's deadline,
+// and a good one must be complete at the deadline. So most requests move as late as they can: for
 // [moveTime] before the old endpoints end, those requests that would outlast them, then all new
-// requests; the version is complete once the old endpoints are idle. Until there are enough
-// answers of each route, or while they look worse than those of the old version, no requests
-// are moved, whatever the deadline.
+// requests; the version is complete once the old endpoints are idle. Until there are enough answers
+// of each route, or while they look worse than those of the old version, no requests are moved,
+// whatever the deadline.
 //
 // A step is sent to all daemons before it is stored, and a stored phase takes precedence over
 // what a new lease holder would decide. A new lease holder takes the phase from the grants that
@@ -23,7 +23,7 @@
 //
 //	p := promoter.New(promoter.Config{MaxShare: 0.1})
 //	for _, step := range p.Step(&promoter.Input{...}) { // several times a second
-//		tell(step.Order, step.Phase, step.Ends)
+//		announce(step.Order, step.Phase, step.Ends)
 //		if step.Store { store(step.Order, step.Phase) }
 //	}
 package promoter
@@ -53,8 +53,8 @@
 	// ones, that must be listed before any requests move.
 	minNewFraction = 0.5
 	// minAnswers of the new version are needed before any requests move, and minRouteAnswers on
-	// each route that has at least commonRouteFraction of all answers. Where many answers of
-	// the old version are bad, bad ones tell less, so answersPerBadFraction times their
+	// each route that has at least commonRouteFraction of all answers. Where many answers of the
+	// old version are bad, a bad one is weaker evidence, so answersPerBadFraction times their
 	// fraction are needed in addition.
 	minAnswers            = 20
 	minRouteAnswers       = 12
@@ -85,9 +85,9 @@
 	// Phase is the current phase; Ends is when the old endpoints are to end.
 	Phase rollout.Phase
 	Ends  time.Time
-	// Store tells that the phase is to be stored; it takes effect once it is.
+	// Store is set if the phase is to be stored; the phase takes effect once it is stored.
 	Store bool
-	// Changed tells that the phase has changed, for Reason, on the basis of Evidence.
+	// Changed is set if the phase has changed, for Reason, on the basis of Evidence.
 	Changed  bool
 	Reason   string
 	Evidence Evidence
@@ -227,7 +227,7 @@
 	return ""
 }
 
-// HoldReason returns what keeps an order in its trial phase, for display; empty if nothing does
+// HoldReason returns what keeps an order in its canary phase, for display; empty if nothing does
 // or the order is not in that phase.
 func (p *Promoter) HoldReason(o *splitter.Order, in *Input) string {
 	if t := p.trials[o.OrderID()]; t != nil && t.phase == rollout.Canary {
--- a/internal/fleet/repairer/repairer.go
+++ b/internal/fleet/repairer/repairer.go
@@ -74,7 +74,7 @@
 	Held() (fencing uint64, held bool)
 }
 
-// Hosts lists the hosts that the platform knows.
+// Hosts is the platform's list of hosts.
 type Hosts interface {
 	Hosts() []inventory.Host
 	HostLeaving(h *inventory.Host) bool
--- a/internal/fleet/repairer/repairer_test.go
+++ b/internal/fleet/repairer/repairer_test.go
@@ -33,7 +33,7 @@
 Routing: {FirstToken: 330ms}
 `
 
-var errCrashed = errors.New("the controller died")
+var errCrashed = errors.New("the controller crashed")
 
 // fakePlatform is a store and a cloud during whose calls the controller can crash.
 type fakePlatform struct {
--- a/internal/fleet/sizer/sizer.go
+++ b/internal/fleet/sizer/sizer.go
@@ -86,7 +86,7 @@
 	// ReclaimableWithPending is the number of reclaimable endpoints including those that are
 	// ordered and still starting.
 	ReclaimableWithPending int
-	// ReclaimableUnavailable tells that no further reclaimable endpoints are available now.
+	// ReclaimableUnavailable is set if no further reclaimable endpoints are available now.
 	ReclaimableUnavailable bool
 }
 
@@ -164,8 +164,8 @@
 			zones = available
 		}
 		perZone := max(int(math.Ceil(required/float64(zones-1))), 1)
-		// Running endpoints keep their place: giving them back for on-demand ones that were due
-		// to be given back too left a third of the pool for a second.
+		// Running endpoints keep their place: giving them back in favour of on-demand ones, which
+		// were then also given back, left a third of the pool for a second.
 		p.out[i].Reclaimable = min(perZone, max(p.in.Scale.Max-z.OnDemand, z.Reclaimable))
 	}
 }
--- a/internal/fleet/usagereporter/usagereporter.go
+++ b/internal/fleet/usagereporter/usagereporter.go
@@ -6,10 +6,9 @@
 // differ. So the counts of a window are settled in the store by a conditional write before they
 // are first sent, and every lease holder sends the settled counts.
 //
-// The counts of an open window are known to all daemons and so survive the loss of any one of
-// them. In case all daemons are killed at once, the lease holder also keeps their sums in the
-// store, with the sources they include; a successor adds the counts of sources that it knows
-// itself and that are not among these.
+// The counts of an open window are known to all daemons and so survive the loss of any one of them.
+// In case all daemons are killed at once, the lease holder also keeps their sums in the store, with
+// the sources they include; a successor adds the counts that it has from other sources.
 //
 // # Usage
 //
@@ -197,9 +196,9 @@
 	return r.record.find(number), nil
 }
 
-// skipEnded marks the windows that have ended as sent. Their settled counts are lost and may
-// have been reported: a second report with other counts is worse than none, and without this no
-// later window would ever be reported.
+// skipEnded marks the windows that have ended as sent, after the stored record was found corrupt.
+// Their settled counts are lost and may have been reported, and a second report with other counts
+// is worse than none. Without skipping them no later window would ever be reported.
 func (r *Reporter) skipEnded() {
 	newest := r.c.Now().UnixNano() / int64(r.c.Window)
 	for number := newest - int64(r.maxOpen()); number < newest; number++ {
