--- a/internal/route/budgeter/budgeter.go
+++ b/internal/route/budgeter/budgeter.go
@@ -1,10 +1,8 @@
 // Package budgeter implements a retry budget: it bounds retries to a fraction of the requests.
 //
-// # Purpose
-//
-// When many endpoints fail at once, retries multiply the load on those that are left. A [Budgeter]
-// earns a fraction of a retry with each request, up to a reserve, so that retries stay a fixed
-// fraction of the traffic whatever fails.
+// When many endpoints fail at once, unbounded retries multiply the load on those that are left. A
+// [Budgeter] earns a fraction of a retry with each request, up to a reserve, so that retries stay a
+// fixed fraction of the traffic whatever fails.
 //
 // # Usage
 //
--- a/internal/route/candidate/candidate.go
+++ b/internal/route/candidate/candidate.go
@@ -1,7 +1,7 @@
 // Package candidate holds the state of an endpoint that routing decisions read.
 //
-// A daemon knows its own requests (InFlight, [Candidate.RecordSent]) exactly and without delay. The
-// load reports of an endpoint (Running, QueuedTokens) cover all daemons but are old when they
+// A daemon counts its own requests (InFlight, [Candidate.RecordSent]) exactly and without delay.
+// The load reports of an endpoint (Running, QueuedTokens) cover all daemons but are old when they
 // arrive. A decision needs both: the last report plus what was sent after it was taken.
 //
 // # Usage
@@ -28,7 +28,8 @@
 	// silent.
 	Leaving     bool
 	Unavailable bool
-	// Silent: the endpoint's streams, or all streams of its zone, have delivered no event lately.
+	// Silent: the endpoint's streams, or all streams of its zone, have delivered no event within
+	// silentTime.
 	Silent bool
 	// BackingOff: the endpoint asked this daemon to pause; see BackoffUntil.
 	BackingOff bool
@@ -184,7 +185,8 @@
 	}
 }
 
-// RecentTokenRate returns the uncached prompt tokens per second that this daemon has sent lately.
+// RecentTokenRate returns the uncached prompt tokens per second that this daemon has sent, averaged
+// over recentTime.
 func (c *Candidate) RecentTokenRate(now time.Time) float64 {
 	c.recentTokenRate *= math.Exp(-now.Sub(c.recentAt).Seconds() / recentTime.Seconds())
 	c.recentAt = now
--- a/internal/route/estimator/estimator.go
+++ b/internal/route/estimator/estimator.go
@@ -15,15 +15,15 @@
 // # Queueing is not slowness
 //
 // A request that waits behind others seems to be read slowly. If such samples counted, the estimate
-// would fall under an overload, the load would seem to grow, and the pool would be enlarged. So
-// slow samples count only from engines that were presumed idle; fast ones always count, because
-// only a fast engine produces them. An estimate that is too low makes idle engines look occupied,
-// and is corrected by the fast samples.
+// would fall under an overload, the load would seem to grow, and the pool would be enlarged. Slow
+// samples therefore count only from engines that were presumed idle; fast ones always count,
+// because only a fast engine produces them. An estimate that is too low makes idle engines look
+// occupied, and is corrected by the fast samples.
 //
 // # Fleet-wide estimate
 //
 // Daemons gossip their estimates, and each uses the median, weighted by sample counts. A new
-// process uses what its peers know, and [initialSpeed] if nobody knows anything.
+// process uses the estimates of its peers, and [initialSpeed] if they have none either.
 //
 // # Usage
 //
@@ -57,9 +57,9 @@
 	minStep     = 0.03
 	stepSamples = 4
 	// The speed may fall at once to minSpeedFraction of its mean over meanTime, but no further.
-	// When a load begins, all caches are cold and the queues are not known yet: sixty daemons
-	// estimated engines of 45,000 tokens per second at 9,000 within three seconds, and twice the
-	// pool was ordered.
+	// When a load begins, all caches are cold and the growing queues have not been reported yet:
+	// sixty daemons estimated engines of 45,000 tokens per second at 9,000 within three seconds,
+	// and twice the pool was ordered.
 	minSpeedFraction = 0.8
 	meanTime         = 8 * time.Second
 	// slowFraction of the samples, three of four, are assumed to be slow because their requests
@@ -273,7 +273,7 @@
 	if st.fleetAt.IsZero() || now.Sub(st.fleetAt) >= medianInterval {
 		st.fleet, st.fleetAt = st.median(now), now
 		if st.local.Samples == 0 {
-			// What peers know is a better start than the initial value.
+			// The estimates of peers are a better start than the initial value.
 			st.local = Estimate{Speed: st.fleet.Speed, FixedLatency: st.fleet.FixedLatency}
 		}
 	}
--- a/internal/route/limiter/limiter.go
+++ b/internal/route/limiter/limiter.go
@@ -95,8 +95,8 @@
 
 // Share returns a daemon's share of a fleet-wide limit, at least 1.
 func Share(limit, zones, daemons int) int {
-	whole := max(zones, 1) * max(daemons, 1)
-	return max((limit+whole-1)/whole, 1)
+	shares := max(zones, 1) * max(daemons, 1)
+	return max((limit+shares-1)/shares, 1)
 }
 
 // InFlight returns the number of admitted requests that have not been released.
--- a/internal/route/migrator/migrator.go
+++ b/internal/route/migrator/migrator.go
@@ -2,9 +2,9 @@
 //
 // When the host of an engine is reclaimed its cache is lost, and the next turn of each conversation
 // has to recompute its history. The cache can still be exported in the seconds between the notice
-// and the end of the host. Each daemon knows the conversations whose last turn it sent and the home
-// to which their next turn will go (see package selector). The migrator makes the new home import
-// the blocks of each conversation while the old engine is still running.
+// and the end of the host. Each daemon keeps the conversations whose last turn it sent and can
+// compute the home to which their next turn will go (see package selector). The migrator makes the
+// new home import the blocks of each conversation while the old engine is still running.
 //
 // A failure costs recomputed tokens but never correctness, so imports are not retried.
 //
@@ -38,7 +38,7 @@
 	Import(ctx context.Context, address string, i *caller.ImportRequest) error
 }
 
-// Registry knows the conversations and their homes.
+// Registry keeps the conversations and their homes.
 type Registry interface {
 	// TakeMigratable removes and returns the conversations whose cache is on leaving hosts.
 	TakeMigratable() []*registry.Conversation
--- a/internal/route/pacer/pacer.go
+++ b/internal/route/pacer/pacer.go
@@ -17,8 +17,8 @@
 // by their number per second, evenly spaced, and saves up no more than one request. So T seconds
 // bring at most N·T + N + [spareSenders] requests, whatever came before.
 //
-// A daemon that hears from only a part of the fleet uses only that part of the limit, because it
-// may be partitioned from others that go on sending.
+// A daemon that receives gossip from only a part of the fleet uses only that part of the limit,
+// because it may be partitioned from others that go on sending.
 //
 // # Gossip
 //
--- a/internal/route/pacer/pacer_test.go
+++ b/internal/route/pacer/pacer_test.go
@@ -21,7 +21,7 @@
 	tolerance = 5
 )
 
-// daemons returns the pacers of a fleet in which all daemons hear from each other.
+// daemons returns the pacers of a fleet in which all daemons exchange gossip.
 func daemons(n int) []*Pacer {
 	names := make([]identifier.Host, n)
 	for i := range names {
@@ -68,7 +68,7 @@
 	return sends
 }
 
-// Any number of daemons under any load together keep to any limit that they know.
+// Any number of daemons under any load together keep to any limit that has reached them.
 func TestLimitHoldsUnderAnyLoad(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 40).Draw(rt, "daemons")
@@ -156,7 +156,7 @@
 			for _, s := range steps {
 				time.Sleep(s.pause)
 				p := fleet[s.daemon]
-				// A daemon that does not know of a limit has nothing to end.
+				// A daemon that no limit has reached has nothing to end.
 				p.Merge(updates)
 				p.ObserveResponse(engine, s.limit, time.Now())
 				updates, last = append(updates, p.Updates()...), s.limit
@@ -218,7 +218,7 @@
 	})
 }
 
-// A daemon of a fleet of forty that hears from no other sends a fortieth of the limit.
+// A daemon of a fleet of forty that receives no gossip sends a fortieth of the limit.
 func TestIsolatedDaemonSendsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := New(Config{Host: "alone", Fleet: func() Fleet { return Fleet{Size: 40} }, Now: time.Now, OnChange: func(Change) {}})
--- a/internal/route/pacer/share.go
+++ b/internal/route/pacer/share.go
@@ -20,11 +20,11 @@
 	refreshInterval = 250 * time.Millisecond
 )
 
-// Fleet is the part of the fleet that this daemon hears from.
+// Fleet is the part of the fleet that this daemon receives gossip from.
 type Fleet struct {
 	// Peers are the other live daemons that accept new work.
 	Peers []identifier.Host
-	// Size is the number of all daemons, including those not heard from.
+	// Size is the number of all daemons, including those from which no gossip arrives.
 	Size int
 	// Stopping: this daemon accepts no new work.
 	Stopping bool
--- a/internal/route/poller/poller.go
+++ b/internal/route/poller/poller.go
@@ -120,8 +120,8 @@
 // maxEndpoints bounds the size of the map of event numbers.
 const maxEndpoints = 4096
 
-// prune drops all event numbers when there are too many, as those of endpoints long gone; the
-// events are then read again. The caller holds the lock.
+// prune drops all event numbers when there are too many, most of them of endpoints that no longer
+// exist; the events of the others are then read again. The caller holds the lock.
 func (p *Poller) prune() {
 	if len(p.nextEvents) > maxEndpoints {
 		clear(p.nextEvents)
--- a/internal/route/quarantiner/gossip.go
+++ b/internal/route/quarantiner/gossip.go
@@ -34,22 +34,23 @@
 	return len(s.Endings) == 1 && s.Endings[0].Weak && !s.Endings[0].Void
 }
 
-// Merge merges the updates of another daemon and reports whether any of them was news.
+// Merge merges the updates of another daemon and reports whether any of them changed the suspects
+// of this one.
 func (z *Quarantiner) Merge(updates []Suspect) bool {
 	now := time.Now()
-	news := false
+	anyNew := false
 	for _, s := range updates {
 		z.mu.Lock()
-		isNews, changed := z.mergeSuspect(&s, now)
+		isNew, changed := z.mergeSuspect(&s, now)
 		z.mu.Unlock()
-		news = news || isNews
+		anyNew = anyNew || isNew
 		z.notify(changed)
 	}
-	return news
+	return anyNew
 }
 
 // mergeSuspect merges one suspect. The caller holds the lock.
-func (z *Quarantiner) mergeSuspect(update *Suspect, now time.Time) (news bool, changed *Suspect) {
+func (z *Quarantiner) mergeSuspect(update *Suspect, now time.Time) (isNew bool, changed *Suspect) {
 	endings := make([]Ending, 0, len(update.Endings))
 	for _, e := range update.Endings {
 		// Endings that have lapsed here are not added again.
--- a/internal/route/quarantiner/quarantiner.go
+++ b/internal/route/quarantiner/quarantiner.go
@@ -2,22 +2,22 @@
 //
 // Some requests end the process of each endpoint that begins to run them, and with it all other
 // answers in progress there. Their clients get an error and send them again, to any daemon. What a
-// daemon learns from one arrival must therefore outlive it and reach all daemons. Requests are
-// identified by their fingerprint.
+// daemon learns from one arrival must therefore be kept after its end and reach all daemons.
+// Requests are identified by their fingerprint.
 //
 // # Evidence
 //
 // An [Ending] is one incarnation of an endpoint that ended while it ran the request. It counts
 // [strong] points by default. It counts [weak] points if the endpoint had delivered events of the
 // request before, or if the request was answered recently: many requests run at an endpoint when it
-// ends, and all but one of them are innocent. An answer from any endpoint clears a request: its
+// ends, and only one of them has caused its end. An answer from any endpoint clears a request: its
 // endings no longer count. When a request is held, the endings that it explains no longer count
 // against other requests.
 //
 // # Decision
 //
 // A request with at least [limit] points is held: [Quarantiner.Admit] refuses it. The decision
-// follows from the endings alone, so daemons that know the same endings decide the same. After a
+// follows from the endings alone, so daemons that have the same endings decide the same. After a
 // pause, which becomes ten times as long with each further ending, the daemon that saw the last
 // ending admits one arrival as a trial. An answer clears the request, another ending prolongs the
 // pause.
@@ -35,7 +35,7 @@
 // # Usage
 //
 //	z := quarantiner.New(quarantiner.Config{Host: name})
-//	if v := z.Admit(fingerprint, id); v.Held { ... }
+//	if d := z.Admit(fingerprint, id); d.Held { ... }
 //	changed := z.RecordEnding(fingerprint, ending)
 //	z.RecordAnswer(fingerprint)
 package quarantiner
@@ -172,29 +172,30 @@
 	}
 	now := time.Now()
 	last := s.last()
-	v := Decision{Endings: s.counting(), RetryAfter: max(last.At.Add(s.pause()).Sub(now), time.Second)}
+	d := Decision{Endings: s.counting(), RetryAfter: max(last.At.Add(s.pause()).Sub(now), time.Second)}
 	if last.Seen == z.c.Host && now.Sub(last.At) >= s.pause() && now.Sub(s.trialAt) >= trialTime {
 		s.trial, s.trialAt = id, now
 	}
-	v.Trial = s.trial == id && s.trialAt.After(last.At)
-	v.Held = !v.Trial
-	return v
+	d.Trial = s.trial == id && s.trialAt.After(last.At)
+	d.Held = !d.Trial
+	return d
 }
 
-// RecordEnding adds an ending of a request and reports whether that is news for other daemons.
+// RecordEnding adds an ending of a request and reports whether it is new and must reach the other
+// daemons.
 func (z *Quarantiner) RecordEnding(f identifier.Fingerprint, e Ending) bool {
 	z.mu.Lock()
 	now := time.Now()
 	e.Seen, e.At = z.c.Host, now
 	e.Weak = e.Weak || z.answered.has(f, now)
-	news, changed := z.add(f, []Ending{e}, now)
+	isNew, changed := z.add(f, []Ending{e}, now)
 	z.mu.Unlock()
 	z.notify(changed)
-	return news
+	return isNew
 }
 
-// RecordAnswer clears a request that an endpoint has run to its end. It reports whether that is
-// news for other daemons.
+// RecordAnswer clears a request that an endpoint has run to its end. It reports whether anything
+// counted against the request, so that the answer must reach the other daemons.
 func (z *Quarantiner) RecordAnswer(f identifier.Fingerprint) bool {
 	z.mu.Lock()
 	z.answered.add(f, time.Now())
@@ -253,7 +254,7 @@
 }
 
 // add merges endings into the suspect. The caller holds the lock.
-func (z *Quarantiner) add(f identifier.Fingerprint, endings []Ending, now time.Time) (news bool, changed *Suspect) {
+func (z *Quarantiner) add(f identifier.Fingerprint, endings []Ending, now time.Time) (isNew bool, changed *Suspect) {
 	s := z.suspects[f]
 	if s == nil {
 		z.evict(now)
@@ -264,12 +265,12 @@
 		s.endings = slices.DeleteFunc(s.endings, func(e Ending) bool { return now.Sub(e.At) > suspectTime })
 	}
 	for i := range endings {
-		news = s.merge(&endings[i]) || news
+		isNew = s.merge(&endings[i]) || isNew
 	}
-	if news {
+	if isNew {
 		s.changed = now
 	}
-	return news, z.updateHeld(f, s)
+	return isNew, z.updateHeld(f, s)
 }
 
 // updateHeld recomputes whether a request is held and returns the suspect if that changed. The
@@ -386,9 +387,9 @@
 	if i := s.find(e); i >= 0 {
 		known := &s.endings[i]
 		void, weak := known.Void || e.Void, known.Weak && e.Weak
-		news := void != known.Void || weak != known.Weak
+		changed := void != known.Void || weak != known.Weak
 		known.Void, known.Weak = void, weak
-		return news
+		return changed
 	}
 	at, _ := slices.BinarySearchFunc(s.endings, e, func(o Ending, e *Ending) int { return o.At.Compare(e.At) })
 	if len(s.endings) >= maxEndings {
--- a/internal/route/quarantiner/quarantiner_test.go
+++ b/internal/route/quarantiner/quarantiner_test.go
@@ -197,7 +197,7 @@
 			t.Errorf("after %v: %+v", heldTime, z.List())
 		}
 		if z.Merge(old) {
-			t.Error("a lapsed suspect is news")
+			t.Error("a lapsed suspect counts as new")
 		}
 	})
 }
--- a/internal/route/quotalimiter/digest_test.go
+++ b/internal/route/quotalimiter/digest_test.go
@@ -81,10 +81,10 @@
 	})
 }
 
-// A daemon that has run for two seconds is paused for seven more. Too young to recognise that it
-// was the one that was away, it charged what it had reserved for its peers meanwhile and also what
-// they had admitted, and refused nearly all requests of two organisations for eight seconds after
-// it resumed.
+// A daemon that has run for two seconds is paused for seven more. It had not run for long enough to
+// recognise that it had been paused itself, so it charged what it had reserved for its peers
+// meanwhile and also what they had admitted, and refused nearly all requests of two organisations
+// for eight seconds after it resumed.
 func TestYoungDaemonDoesNotPayForAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		o := newOrganisation(400_000)
--- a/internal/route/quotalimiter/large_test.go
+++ b/internal/route/quotalimiter/large_test.go
@@ -196,8 +196,8 @@
 	})
 }
 
-// The same as above with an organisation that asks for four times its quota: what new processes do
-// not know of must not be admitted again.
+// The same as above with an organisation that asks for four times its quota: what was admitted
+// before a new process started must not be admitted again.
 func TestRollingRestartKeepsTheQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate = 540_000
@@ -213,7 +213,8 @@
 }
 
 // A tenth of the hosts are killed and come back after three seconds, repeatedly, at half of a
-// quota. Charges presumed for a killed process must not be paid once its successor is heard.
+// quota. Charges presumed for a killed process must not be paid once an update of its successor
+// arrives.
 func TestKilledDaemonsChargeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate = 540_000
@@ -266,10 +267,10 @@
 	}
 }
 
-// All hosts lose power at half of each quota, and hear from each other right after the start,
-// before any has received requests. As they start together, their gossip rounds coincide, too. With
-// the next round only after five seconds, buckets seemed full until then and took all charges of
-// the peers at once, and the sixth second refused a third of the requests. Daemons that have just
+// All hosts lose power at half of each quota, and exchange updates right after the start, before
+// any has received requests. As they start together, their gossip rounds coincide, too. With the
+// next round only after five seconds, buckets seemed full until then and took all charges of the
+// peers at once, and the sixth second refused a third of the requests. Daemons that have just
 // started therefore exchange updates every second.
 func TestRecoveryFromPowerLoss(t *testing.T) {
 	eachRate(t, []float64{260_000, 540_000}, func(t *testing.T, l *largeFleet, rate float64) {
@@ -306,9 +307,9 @@
 }
 
 // An organisation sends six times its usual load, and half a second later a third of the daemons is
-// partitioned from all others. Neither side knows yet what the other charges now. Each isolated
-// daemon assumed that the rest was as idle as before and admitted more than its share for nine
-// seconds, until the rest counted as silent: 25.7 million tokens in a window, where 18.2 are
+// partitioned from all others. Neither side has yet received what the other charges now. Each
+// isolated daemon assumed that the rest was as idle as before and admitted more than its share for
+// nine seconds, until the rest counted as silent: 25.7 million tokens in a window, where 18.2 are
 // allowed.
 func TestPartitionDuringALoadSpikeKeepsTheQuota(t *testing.T) {
 	for _, c := range []struct{ rate, burst float64 }{{150_000, 150_000}, {540_000, 540_000}, {1_600_000, 3_600_000}} {
@@ -342,9 +343,9 @@
 }
 
 // An organisation of a newly started fleet sends four times its quota. All sixty daemons serve it
-// until they learn of each other's charges, and then none does until these are paid back. By then
-// each bucket is full again. Above the level at which shares decide, all of them admitted the whole
-// demand once more, 4.4 times the rate for a second and a half, and both waves fell into one
+// until they learn of each other's charges, and then none does until these are paid back. At that
+// point each bucket is full again. Above the level at which shares decide, all of them admitted the
+// whole demand once more, 4.4 times the rate for a second and a half, and both waves fell into one
 // window: a fleet of 58 admitted 18.4 million tokens in a window of 16.3. The second wave may reach
 // little more than twice the rate.
 func TestSecondWaveOfAnOverloadIsShared(t *testing.T) {
--- a/internal/route/quotalimiter/quotalimiter.go
+++ b/internal/route/quotalimiter/quotalimiter.go
@@ -43,9 +43,10 @@
 //
 // A daemon that has just started reserves the shares of all peers until it has received their
 // updates, and adopts the mean of the levels that they report. Peers subtract from their levels
-// only what it has charged since its start, because it knows nothing that they do not. If no peer
-// is left to report a level, a stored [Snapshot] provides it. A daemon that was paused or
-// partitioned, and finds that it has heard from only few of its peers, adopts their levels, too.
+// only what it has charged since its start, because apart from that it has no information that they
+// do not have. If no peer is left to report a level, a stored [Snapshot] provides it. A daemon that
+// was paused or partitioned, and finds that it has recent updates from only few of its peers,
+// adopts their levels, too.
 //
 // # Usage
 //
@@ -77,8 +78,8 @@
 	minIsolationGap = 600 * time.Millisecond
 	initialMaxGap   = time.Second
 	gapDecayTime    = 5 * time.Second
-	// peerTTL is how long the share of a silent peer stays reserved. A killed process is back
-	// within a few seconds; one that is not back by then has gone for good.
+	// peerTTL is how long the share of a silent peer stays reserved. A killed process is replaced
+	// within a few seconds; one that is not replaced within peerTTL will not return.
 	peerTTL = 30 * time.Second
 	// unreportedTime is the duration, at the quota's rate, that is held back from the tolerated
 	// overage: a sudden load at all daemons at once is not visible until updates arrive. At eight
@@ -96,8 +97,8 @@
 	// either. Until a daemon has seen some requests, the burst is assumed to be worth
 	// minBurstRequests: a daemon that had seen a single small request refused the next one.
 	minBurstRequests = 4
-	// joinTime is how long a new daemon reserves the shares of peers that it has not heard from:
-	// several rounds of gossip.
+	// joinTime is how long a new daemon reserves the shares of peers from which no update has
+	// arrived: several rounds of gossip.
 	joinTime = 10 * time.Second
 	// overageBurstFraction and overageRateFraction are the parts of the remaining overage that
 	// deepen the bucket and raise the rate. Without them, late updates would refuse requests below
@@ -113,10 +114,10 @@
 	// in which a quarter of the rate was admitted.
 	savedReleaseTime = 3 * time.Second
 	// gossipTime is how long the bucket must last at the present demand for shares not to decide,
-	// at a gossip delay of usualGossipDelay: the time until all daemons know what their peers have
-	// admitted. It grows in proportion to the delay: sixty daemons whose buckets had refilled after
-	// a first wave admitted four times the rate once more, until they learned of each other's
-	// charges.
+	// at a gossip delay of usualGossipDelay: the time until all daemons have received what their
+	// peers have admitted. It grows in proportion to the delay: sixty daemons whose buckets had
+	// refilled after a first wave admitted four times the rate once more, until they learned of
+	// each other's charges.
 	gossipTime = 1200 * time.Millisecond
 	// A request of at most smallChargeFraction of the organisation's mean request may overdraw the
 	// bucket by smallChargeTime at the quota's rate, and is not limited to the share. In an
@@ -165,7 +166,8 @@
 	Slack   float64
 	// GossipDelay returns the age that a peer's update may reach; a second if nil.
 	GossipDelay func() time.Duration
-	// FleetSize estimates the number of daemons, including those not heard from; one if nil.
+	// FleetSize estimates the number of daemons, including those from which no updates arrive; one
+	// if nil.
 	FleetSize func() int
 }
 
@@ -186,7 +188,8 @@
 	// two updates.
 	heardAt time.Time
 	maxGap  time.Duration
-	// isolatedAt is when this daemon last heard from less than half of the fleet.
+	// isolatedAt is when this daemon last found that it receives updates from at most half of the
+	// fleet.
 	isolatedAt time.Time
 	// regroupedAt is when Regroup was last called.
 	regroupedAt time.Time
@@ -214,7 +217,7 @@
 	// Level is the level of the fleet's bucket, Rate its refill per second.
 	Level float64
 	Rate  float64
-	// Reserved is the fraction reserved for peers that have not been heard from.
+	// Reserved is the fraction reserved for peers from which no recent update has arrived.
 	Reserved float64
 	// Cause says which limit refused the request. ShareLevel is what is left of this daemon's
 	// share, Share the local fraction of the fleet's demand, and Demand that demand per second.
@@ -275,7 +278,7 @@
 }
 
 // limitToEqualShare limits a bucket to this daemon's equal share while the daemon is isolated. What
-// it has charged since the last update, which peers do not know of, is paid back first.
+// it has charged since the last update, which has not reached its peers, is paid back first.
 func (l *Limiter) limitToEqualShare(b *bucket, now time.Time) {
 	wasIsolated := b.isolated
 	switch b.isolated = l.isIsolated(now); {
--- a/internal/route/quotalimiter/quotalimiter_test.go
+++ b/internal/route/quotalimiter/quotalimiter_test.go
@@ -201,8 +201,8 @@
 	})
 }
 
-// All daemons are killed at once while an organisation is at its limit. The new processes do not
-// know what was admitted; if their buckets started full they would admit the burst again.
+// All daemons are killed at once while an organisation is at its limit. The new processes have no
+// record of what was admitted; if their buckets started full they would admit the burst again.
 func TestMassRestartKeepsTheQuota(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(8, 4))
@@ -218,7 +218,7 @@
 	})
 }
 
-// A daemon that hears from no peer for some seconds refills its bucket meanwhile. If it had to pay
+// A daemon that receives no updates for some seconds refills its bucket meanwhile. If it had to pay
 // for all that its peers charged in that time, it would refuse what the fleet has room for.
 func TestResumedGossipKeepsTheLevel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/route/quotalimiter/snapshot.go
+++ b/internal/route/quotalimiter/snapshot.go
@@ -14,8 +14,8 @@
 // report levels.
 //
 // Without it, after a loss of all processes each new one admitted only its equal share of the
-// refill, a seventh in a fleet of seven, until it heard from its peers: for three quarters of a
-// second, a third of all requests was refused at a fifth of the quotas.
+// refill, a seventh in a fleet of seven, until updates of its peers arrived: for three quarters of
+// a second, a third of all requests was refused at a fifth of the quotas.
 type Snapshot struct {
 	// At is when the snapshot was taken, by the clock that the daemons share.
 	At time.Time
@@ -54,7 +54,7 @@
 
 // restoreBucket sets a bucket for which no peer has reported a level to the stored level, less all
 // the demand since then, because the earlier daemons may have gone on serving. The fraction
-// reserved for peers that have not been heard from is charged at once.
+// reserved for peers from which no recent update has arrived is charged at once.
 func (l *Limiter) restoreBucket(b *bucket, o identifier.Organisation, now time.Time) {
 	if l.restored == nil {
 		return
@@ -74,7 +74,7 @@
 }
 
 // presumedRate returns the most that the fleet is assumed to admit per second. A new process that
-// has restored a snapshot assumes, until it has heard from its peers, that they go on with
+// has restored a snapshot assumes, until updates of its peers arrive, that they go on with
 // presumedGrowth times the stored demand.
 func (l *Limiter) presumedRate(o identifier.Organisation) float64 {
 	if l.restored == nil || time.Since(l.start) >= joinTime {
--- a/internal/route/quotalimiter/update.go
+++ b/internal/route/quotalimiter/update.go
@@ -21,8 +21,8 @@
 // every second request for 45 s.
 const minRateSpan = 400 * time.Millisecond
 
-// minorityFraction is the fraction of the fleet that a daemon must not hear from to conclude that
-// it is itself partitioned, and not the others.
+// minorityFraction is the largest fraction of its peers from which a daemon may receive updates and
+// still conclude that it is itself partitioned, and not the others.
 const minorityFraction = 0.5
 
 // Account is what one daemon reports of its charges to an organisation, in the unit of charges.
@@ -45,8 +45,8 @@
 	// Age is the time since the daemon started; for a group, since the daemon that reports for it
 	// started.
 	Age time.Duration
-	// Daemons is the number of daemons that the update covers, 0 meaning one. Silent of them are
-	// not heard by the daemons that report.
+	// Daemons is the number of daemons that the update covers, 0 meaning one. Updates of Silent of
+	// them do not reach the daemons that report.
 	Daemons, Silent int
 	Accounts        map[identifier.Organisation]Account
 }
@@ -58,8 +58,8 @@
 
 // peer is what is known of another daemon, or of a group of daemons.
 type peer struct {
-	// daemons is the number of daemons, silent how many of them are not heard by the daemons that
-	// report.
+	// daemons is the number of daemons, silent the number of those whose updates do not reach the
+	// daemons that report.
 	daemons, silent int
 	startedAt       time.Time
 	heardAt         time.Time
@@ -103,8 +103,8 @@
 	return out
 }
 
-// Merge takes in the accounts of another daemon or group. What it has charged since its last update
-// is taken from the buckets now. Updates that arrive out of order are ignored.
+// Merge merges the accounts of another daemon or group. What they have charged since their last
+// update is taken from the buckets now. Updates that arrive out of order are ignored.
 func (l *Limiter) Merge(u Update) {
 	now := time.Now()
 	l.mu.Lock()
@@ -157,8 +157,9 @@
 	return age-p.age-since > suspensionThreshold
 }
 
-// heardMinority reports whether this daemon has recently heard from at most half of its peers, as
-// is the case after it was paused itself, however young it is.
+// heardMinority reports whether updates of at most half of the peers have arrived within the
+// silence timeout, as is the case after this daemon was paused itself, even shortly after its
+// start.
 func (l *Limiter) heardMinority(now time.Time) bool {
 	timeout, recent, all := l.silenceTimeout(), 0, 0
 	for _, p := range l.peers {
@@ -170,8 +171,8 @@
 	return float64(recent) <= minorityFraction*float64(all)
 }
 
-// applyUpdate updates the bucket with the account of a peer that was last heard since ago. ahead:
-// the peer has followed the fleet while this daemon has not.
+// applyUpdate updates the bucket with the account of a peer. since is the time since the peer's
+// previous update, ahead whether the peer has followed the fleet while this daemon has not.
 func (l *Limiter) applyUpdate(usage *peerUsage, name identifier.Organisation, account Account, since time.Duration, ahead bool, daemons int) {
 	b := l.buckets[name]
 	if b == nil {
@@ -220,9 +221,9 @@
 	u.demand, u.level, u.noLevel, u.presumed = account.Asked, account.Level, account.NoLevel, 0
 }
 
-// replacePeer removes the earlier processes of a host from which a new process is heard: charges
-// presumed for them end when the new process started. It returns false if the update comes from a
-// process that has itself been replaced.
+// replacePeer removes the earlier processes of a host when the first update of a new process
+// arrives: charges presumed for them end when the new process started. It returns false if the
+// update comes from a process that has itself been replaced.
 func (l *Limiter) replacePeer(host identifier.Host, startedAt, now time.Time) bool {
 	for k, p := range l.peers {
 		if k.host != host {
@@ -292,7 +293,8 @@
 		case since < timeout && usage.rateKnown:
 			charged += usage.rate * since.Seconds()
 		case since < timeout:
-			// Heard only once: assume that it admits its share of its clients' demand.
+			// Only one update has arrived: assume that the peer admits its share of its clients'
+			// demand.
 			charged += l.admittedDemand(o, usage.demand) * since.Seconds()
 		case usage.rate > 0 && l.buckets[o] != nil:
 			usage.presumed = usage.rate * timeout.Seconds()
@@ -301,8 +303,8 @@
 		}
 	}
 	if b := l.buckets[o]; b != nil && b.savedFraction > 0 {
-		// Peers know about as much as this daemon: together they admit what is left and what flows
-		// in, however high their earlier rates were.
+		// Peers estimate about the same level as this daemon: together they admit what is left and
+		// what flows in, however high their earlier rates were.
 		charged = min(charged, max(b.level(), 0)+b.rate*gossipTime.Seconds())
 	}
 	return charged, demand
--- a/internal/route/quotalimiter/window_test.go
+++ b/internal/route/quotalimiter/window_test.go
@@ -61,10 +61,10 @@
 	}
 }
 
-// All daemons are killed at half of a quota and start again a second later, before they hear from
-// each other. Without a snapshot each admitted only an eighth of the rate, and a third of the first
-// second's requests was refused. The snapshot stored by the lease holder shows that there is plenty
-// left.
+// All daemons are killed at half of a quota and start again a second later, with no updates from
+// each other yet. Without a snapshot each admitted only an eighth of the rate, and a third of the
+// first second's requests was refused. The snapshot stored by the lease holder shows that there is
+// plenty left.
 func TestRestartWithASnapshotRefusesNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := rand.New(rand.NewPCG(11, 10))
@@ -127,7 +127,7 @@
 }
 
 // The decision must name the limit that refused a request. A refusal logged as "left 208014, charge
-// 23888" was caused by the daemon's share, which the line did not mention.
+// 23888" was caused by the daemon's share, which the log line did not mention.
 func TestDecisionNamesTheCause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const rate = 60_000
--- a/internal/route/registry/backoff.go
+++ b/internal/route/registry/backoff.go
@@ -58,9 +58,9 @@
 }
 
 // ApplyPeerBackoff records that an endpoint asked another daemon to back off. The endpoint still
-// gets requests that no other endpoint would serve in time. ApplyPeerBackoff reports whether that
-// was news.
-func (r *Registry) ApplyPeerBackoff(b Backoff) (news bool) {
+// gets requests that no other endpoint would serve in time. ApplyPeerBackoff reports whether the
+// endpoint was in no peer backoff before.
+func (r *Registry) ApplyPeerBackoff(b Backoff) (isNew bool) {
 	now := time.Now()
 	until := b.Until
 	if latest := now.Add(maxPeerBackoff); until.After(latest) {
@@ -77,11 +77,11 @@
 		if c.Endpoint != b.Endpoint || c.StartTime != b.StartTime || !known && len(r.peerBackoffs) >= maxBackoffs {
 			return
 		}
-		news = !c.PeerBackoffUntil.After(now)
+		isNew = !c.PeerBackoffUntil.After(now)
 		c.PeerBackoffUntil = keepLater(r.peerBackoffs, key, until, now)
 		c.Refresh(now, r.pools[c.Pool].parameters)
 	})
-	return news
+	return isNew
 }
 
 // Backoffs returns the backoffs to report to peers, those that end last first. They include the
--- a/internal/route/registry/backoff_test.go
+++ b/internal/route/registry/backoff_test.go
@@ -69,7 +69,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRegistry(t, "a", "b")
 		if !r.ApplyPeerBackoff(Backoff{Endpoint: "on-a", Until: time.Now().Add(time.Hour)}) || r.ApplyPeerBackoff(Backoff{Endpoint: "on-a", Until: time.Now().Add(time.Second)}) {
-			t.Error("want news for the first report and none for the second")
+			t.Error("want the first report to be new and the second not")
 		}
 		for range 20 {
 			if pick, _ := chooseWithLateCost(r); pick.Endpoint != "on-b" {
--- a/internal/route/registry/conversation.go
+++ b/internal/route/registry/conversation.go
@@ -9,7 +9,7 @@
 	"brasschute/internal/route/selector"
 )
 
-// Conversation records where the prefix cache of a conversation is, as far as this daemon knows.
+// Conversation records where this daemon presumes the prefix cache of a conversation to be.
 type Conversation struct {
 	Prefix uint64
 	// PricePremium is the result of [selector.HomePricePremium] for the configuration in force.
--- a/internal/route/registry/incarnation_test.go
+++ b/internal/route/registry/incarnation_test.go
@@ -94,13 +94,13 @@
 // Home endpoints depend on the incarnation. Homes on an endpoint that lost its cache are
 // redistributed, identically at all daemons; homes on the other endpoints stay.
 func TestHomesOfNewIncarnationAreRedistributed(t *testing.T) {
-	homes := func(born identifier.StartTime) (out [200]identifier.Endpoint) {
+	homes := func(start identifier.StartTime) (out [200]identifier.Endpoint) {
 		r := newRegistry(t)
 		listed := make(map[string]*inventory.Host)
 		for _, name := range []string{"a", "b", "c", "d"} {
 			h := &inventory.Host{Host: identifier.Host(name), Incarnation: 1, State: inventory.StateLive, Endpoints: []inventory.Endpoint{{Endpoint: identifier.Endpoint(name), Pool: "p", Address: "a"}}}
 			if name == "a" {
-				h.Born = born
+				h.Born = start
 			}
 			listed[name] = h
 		}
--- a/internal/route/registry/limit.go
+++ b/internal/route/registry/limit.go
@@ -8,12 +8,14 @@
 	"brasschute/internal/route/pacer"
 )
 
-// incarnationOf identifies the current incarnation of an endpoint as other daemons know it.
+// incarnationOf identifies the current incarnation of an endpoint by its start time, as all daemons
+// do.
 func incarnationOf(c *candidate.Candidate) pacer.Incarnation {
 	return pacer.Incarnation{Endpoint: c.Endpoint, Born: c.StartTime}
 }
 
-// EndpointIncarnation identifies the incarnation of the chosen endpoint as other daemons know it.
+// EndpointIncarnation identifies the incarnation of the chosen endpoint by its start time, as all
+// daemons do.
 func (k *Pick) EndpointIncarnation() pacer.Incarnation {
 	return pacer.Incarnation{Endpoint: k.Endpoint, Born: k.StartTime}
 }
--- a/internal/route/registry/listing.go
+++ b/internal/route/registry/listing.go
@@ -80,7 +80,8 @@
 	r.c.OnChange()
 }
 
-// MarkLeaving stops new requests to the endpoints of a host. It reports whether that was news.
+// MarkLeaving stops new requests to the endpoints of a host. It reports whether the host was not
+// leaving before.
 func (r *Registry) MarkLeaving(h identifier.Host, i identifier.Incarnation, deadline time.Time) bool {
 	if !r.c.LeavingHosts.MarkLeaving(h, i, deadline, time.Now()) {
 		return false
@@ -167,11 +168,11 @@
 // cache that its homes were for. Its homes are therefore redistributed over the other endpoints as
 // if it were a new one; otherwise all their prompts would wait to be computed again at one
 // endpoint.
-func hash(e identifier.Endpoint, born identifier.StartTime) uint64 {
-	if born == 0 {
+func hash(e identifier.Endpoint, start identifier.StartTime) uint64 {
+	if start == 0 {
 		return xxhash.Sum64String(string(e))
 	}
-	return xxhash.Sum64String(string(e) + "/" + strconv.FormatInt(int64(born), 10))
+	return xxhash.Sum64String(string(e) + "/" + strconv.FormatInt(int64(start), 10))
 }
 
 // id returns the number of an endpoint's current incarnation in the indexer.
--- a/internal/route/registry/pick.go
+++ b/internal/route/registry/pick.go
@@ -29,7 +29,8 @@
 	TokensAhead       float64
 	Streams           float64
 
-	// Activity must be informed of the events that arrive from the endpoint.
+	// Activity records the events that arrive from the endpoint. The sender of the request reports
+	// them to it.
 	Activity *candidate.Activity
 
 	id int32
--- a/internal/route/registry/registry.go
+++ b/internal/route/registry/registry.go
@@ -1,7 +1,7 @@
-// Package registry keeps a daemon's live view of the endpoints.
+// Package registry keeps a daemon's current view of the endpoints.
 //
-// Endpoints come from the platform's host list. The first source that says an endpoint is leaving
-// is believed: a reclaim notice, the host list, the endpoint's own load report or a peer.
+// Endpoints come from the platform's host list. An endpoint counts as leaving as soon as one source
+// says so: a reclaim notice, the host list, the endpoint's own load report or a peer.
 // Config.LeavingHosts stores it for the incarnation of the host, and nothing in this package
 // reverts it.
 //
@@ -57,7 +57,7 @@
 type LeavingHosts interface {
 	// Leaving returns the deadline of an incarnation of a host, and whether it is known to leave.
 	Leaving(h identifier.Host, i identifier.Incarnation) (time.Time, bool)
-	// MarkLeaving stores that an incarnation of a host is leaving and reports whether that was news.
+	// MarkLeaving stores that an incarnation of a host is leaving and reports whether that was new.
 	MarkLeaving(h identifier.Host, i identifier.Incarnation, deadline, now time.Time) bool
 }
 
--- a/internal/route/selector/selector.go
+++ b/internal/route/selector/selector.go
@@ -15,12 +15,13 @@
 //
 // # Home endpoints
 //
-// A daemon knows only what it sent itself and the cache events that reached it, but the turns of
-// one conversation may arrive at any daemon. Each conversation therefore has a home: the endpoint
-// that wins a rendezvous hash of the conversation's prefix among the cheapest endpoints that may
-// serve. All daemons find the same home without communication and presume that it has cached what
-// earlier turns sent. Serving the conversation elsewhere costs recomputing that prefix, by the
-// configured weight. A home that is predicted to miss the target by too much is not used.
+// A daemon has only the records of what it sent itself and the cache events that reached it, but
+// the turns of one conversation may arrive at any daemon. Each conversation therefore has a home:
+// the endpoint that wins a rendezvous hash of the conversation's prefix among the cheapest
+// endpoints that may serve. All daemons find the same home without communication and presume that
+// it has cached what earlier turns sent. Serving the conversation elsewhere costs recomputing that
+// prefix, by the configured weight. A home that is predicted to miss the target by too much is not
+// used.
 //
 // # Usage
 //
@@ -45,8 +46,8 @@
 const None = -1
 
 const (
-	// zoneSeconds is added to the time to first token of an endpoint in another zone: the measured
-	// one-way delay between zones is about 1 ms.
+	// crossZoneSeconds is added to the time to first token of an endpoint in another zone: the
+	// measured one-way delay between zones is about 1 ms.
 	crossZoneSeconds = 0.002
 	// nearlyEqual is the ratio up to which two costs, or two times to first token, count as equal.
 	nearlyEqual = 1.05
@@ -220,8 +221,8 @@
 		if scratch[i].FirstToken >= 0 {
 			late := m.lateness(scratch[i].FirstToken)
 			if candidates[i].PeerBackingOff {
-				// An endpoint that turned away another daemon will most likely turn this one away,
-				// too.
+				// An endpoint that asked another daemon to back off will most likely refuse this
+				// one, too.
 				late = 1
 			}
 			scratch[i].Cost += q.LateCost * late
--- a/internal/route/shedder/shedder.go
+++ b/internal/route/shedder/shedder.go
@@ -3,21 +3,21 @@
 // # Load shedding
 //
 // When demand exceeds the prefill capacity of the engines, queues grow until each response comes
-// after its client has given up: the engines are fully busy, and nobody is served. A request whose
-// prefill is predicted to begin only after that is therefore refused before it is sent, and
+// after its client has given up: the engines are fully busy, and no client is served. A request
+// whose prefill is predicted to begin only after that is therefore refused before it is sent, and
 // correctly reported as not run, so that the requests that can still be served are.
 //
 // # Priorities
 //
 // Engines admit urgent requests before others, so the queue ahead says little about their delay:
-// the most urgent ones are refused only at twice the delay. Refused clients are told to retry when
-// the queue will have shrunk to half of the objective, those with more urgent priorities earlier,
-// with jitter so that they do not return together.
+// the most urgent ones are refused only at twice the delay. The Retry-After of a refusal is the
+// predicted time until the queue has shrunk to half of the objective, shorter for more urgent
+// priorities, with jitter so that clients do not return together.
 //
 // # Usage
 //
 //	d := shedder.Decide(&shedder.Input{...})
-//	if d.Refuse { tell the client d.RetryAfter }
+//	if d.Refuse { refuse with Retry-After d.RetryAfter }
 package shedder
 
 import (
--- a/internal/route/shedder/shedder_test.go
+++ b/internal/route/shedder/shedder_test.go
@@ -14,7 +14,7 @@
 }
 
 // Demand is one and a half times the engines' prefill capacity, for twenty seconds. If everything
-// is sent, the queue grows past the clients' timeout, and from then on nobody is served. With
+// is sent, the queue grows past the clients' timeout, and from then on no client is served. With
 // shedding, the queue stays within the timeout, and the requests that are sent are served.
 func TestOverloadServesWhatItCan(t *testing.T) {
 	const (
@@ -44,8 +44,8 @@
 	}
 }
 
-// What can be served is never refused, and a refused client is told a time that it can wait for.
-// The most urgent requests are the last to be refused and the first to retry.
+// What can be served is never refused, and the Retry-After of a refusal is within the client's
+// remaining time. The most urgent requests are the last to be refused and the first to retry.
 func TestDecisionsKeepTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ms := func(name string, highest int) time.Duration {
--- a/internal/route/splitter/grant.go
+++ b/internal/route/splitter/grant.go
@@ -20,7 +20,7 @@
 	Target  identifier.Version
 	Order   uint64
 	Phase   rollout.Phase
-	// Fencing, the holder's fencing number, and then Sequence tell which of two grants is newer.
+	// Fencing, the holder's fencing number, and then Sequence decide which of two grants is newer.
 	Fencing, Sequence uint64
 	// IssuedAt is when the holder issued the grant. OldEndAt is when the old endpoints are due to
 	// end. Both are times of this daemon's clock.
@@ -38,7 +38,7 @@
 // ApplyGrant applies a grant that came from the holder or was passed on by another daemon. It
 // reports whether the phase of the roll-out changed. The furthest known phase is kept even if the
 // grant is older.
-func (s *Splitter) ApplyGrant(g *Grant, source string) (news bool) {
+func (s *Splitter) ApplyGrant(g *Grant, source string) (phaseChanged bool) {
 	s.mu.Lock()
 	v := s.services[g.Service]
 	if v == nil || g.Order != v.order.OrderID() || v.grant.Order == g.Order && !g.newer(&v.grant) && g.Phase <= v.grant.Phase {
@@ -81,7 +81,7 @@
 	return v.grant.Order == v.order.OrderID() && now.Sub(v.grant.IssuedAt) < s.grantTime()
 }
 
-// grantTime returns how long a grant is valid, given the configured RollbackTime.
+// grantTime returns how long a grant is valid, given the configured RevertTime.
 func (s *Splitter) grantTime() time.Duration {
 	if s.c.RevertTime <= 0 {
 		return grantTime
--- a/internal/route/splitter/order.go
+++ b/internal/route/splitter/order.go
@@ -9,7 +9,7 @@
 	"brasschute/internal/core/identifier"
 )
 
-// PhaseChange is a change of the phase of a roll-out as this daemon knows it.
+// PhaseChange is a change of the phase of a roll-out at this daemon.
 type PhaseChange struct {
 	Service         identifier.Service
 	Target          identifier.Version
@@ -143,7 +143,7 @@
 	}, after != before
 }
 
-// Order is a roll-out order as this daemon knows it.
+// Order is this daemon's state of a roll-out order.
 type Order struct {
 	// Rollout has the furthest known phase.
 	rollout.Rollout
--- a/internal/route/splitter/splitter.go
+++ b/internal/route/splitter/splitter.go
@@ -4,8 +4,8 @@
 // # Canary share
 //
 // A new version may be bad, and its share of all requests is a sum over the fleet that no daemon
-// knows in time. Each daemon therefore earns a fraction of a canary request with each request for
-// the service, and a canary request costs one whole unit. All daemons together then send the
+// can compute in time. Each daemon therefore earns a fraction of a canary request with each request
+// for the service, and a canary request costs one whole unit. All daemons together then send the
 // version a fixed share of the requests that they have received, even if some are partitioned,
 // restarted or have few clients. Because daemons with few requests would earn too little, part of
 // the tolerated slack beyond the share is divided among the daemons when the order arrives.
@@ -18,8 +18,8 @@
 //
 // The lease holder decides how far a roll-out has come and issues a [Grant] several times a second.
 // A daemon that has received no grant for [grantTime] sends nothing to the new version: if the
-// daemon is partitioned or the holder has died, the old endpoints serve. A revert is never
-// forgotten and overrides everything else.
+// daemon is partitioned or the holder has died, the old endpoints serve. A revert is final and
+// overrides everything else.
 //
 // # Usage
 //
@@ -43,15 +43,15 @@
 
 const (
 	// The share covers canary requests and requests that would outlast the old endpoints. The
-	// evidence from canary requests depends on their number. They are therefore the fraction of all
-	// requests that gives canaryRequests until the deadline, at most maxCanaryFraction of the share
-	// and at least minCanaryFraction of all requests: a few endpoints must be as busy with them as
-	// the old ones are.
+	// evidence from canary requests depends on their number. Their fraction of all requests is
+	// therefore chosen such that there are canaryRequests of them until the deadline. It is at most
+	// maxCanaryFraction of the share, and at least minCanaryFraction: a few endpoints must be as
+	// busy with canary requests as the old ones are with theirs.
 	canaryRequests    = 300
 	maxCanaryFraction = 0.4
 	minCanaryFraction = 0.015
-	// The part of the endpoints that canary requests go to is endpointFactor times the part of all
-	// requests that they are; minCanaryEndpoints at least.
+	// Canary requests go to as many endpoints as the number of old ones times the canary fraction
+	// times endpointFactor, at least to minCanaryEndpoints.
 	endpointFactor     = 1.5
 	minCanaryEndpoints = 2
 	// shareMargin is subtracted from the share to allow for differences between clocks and between
@@ -222,7 +222,8 @@
 	return float64(v.requests) / max(now.Sub(v.orderedAt).Seconds(), 1)
 }
 
-// isCanary reports whether a request becomes a canary request: equally many of each route do.
+// isCanary reports whether a request becomes a canary request. Each route gets about the same
+// number of canary requests.
 func (s *Splitter) isCanary(v *service, q *Query, now time.Time) bool {
 	if v.canaryBudget < 1 || v.moveBudget+v.canaryBudget < 1 {
 		return false
