--- a/internal/serve/claimer/batch.go
+++ b/internal/serve/claimer/batch.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// waitForClaim lets background operations wait briefly for a claim to be written with.
-// Otherwise each claim would cost two writes.
+// waitForClaim delays background operations briefly, so that they can share a write
+// with a claim. Otherwise each claim would cost two writes.
 func (c *Claimer) waitForClaim(i int) {
 	c.mu.Lock()
 	empty := len(c.queues[i].pending) == 0
--- a/internal/serve/claimer/claimer.go
+++ b/internal/serve/claimer/claimer.go
@@ -6,11 +6,11 @@
 // and a digest of the request, by which a key reused with another body is detected.
 // A daemon that finds the key claimed with another token does not run the request.
 //
-// Claims are kept in [Shards] objects, chosen by a hash of the key. Each is written
-// by conditional update only, so that no daemon needs to own a shard. Claims that
-// arrive during a write are batched into the next one. A result that is recorded
-// after a request waits briefly for a claim to be written with, so that a busy
-// daemon makes less than one write a request.
+// Claims are kept in [Shards] objects, chosen by a hash of the key. Each is written by
+// conditional update only, so that no daemon needs to own a shard. Claims that arrive
+// during a write are batched into the next one. A result that is recorded after a
+// request waits briefly, so that it can share a write with a claim and a busy daemon
+// makes less than one write a request.
 //
 // If the answer to a write is lost, the write may have taken effect, may do so
 // later, or never. The claimer then reads the shard. If its token is there, it owns
@@ -48,7 +48,7 @@
 const (
 	// Shards is the number of shards. It must not change, as that would hide earlier claims.
 	Shards = 64
-	// Retention is how long a key is remembered.
+	// Retention is how long a claim is kept.
 	Retention = 24 * time.Hour
 	// maxShardBytes bounds the estimated size of a shard's entries; entryBytes is the
 	// estimate of an entry without its answer.
@@ -65,7 +65,8 @@
 	backgroundRetryTime = 30 * time.Minute
 	minBackgroundPause  = 250 * time.Millisecond
 	maxBackgroundPause  = 5 * time.Second
-	// batchWait is how long background operations wait for a claim to be written with.
+	// batchWait is how long background operations wait for a claim that they can share a write
+	// with.
 	batchWait  = 400 * time.Millisecond
 	keyBytes   = 16
 	tokenBytes = 12
--- a/internal/serve/forwarder/forwarder.go
+++ b/internal/serve/forwarder/forwarder.go
@@ -5,9 +5,9 @@
 // neither a length nor chunked encoding cannot prove its end and counts as
 // truncated.
 //
-// An attempt that was never sent, or that the endpoint explicitly refused, is
-// retried at another endpoint. One that may have been sent is retried only if the
-// request is idempotent. Otherwise the caller is told that the outcome is unknown.
+// An attempt that was never sent, or that the endpoint explicitly refused, is retried
+// at another endpoint. One that may have been sent is retried only if the request is
+// idempotent. Otherwise the refusal states that the outcome is unknown.
 //
 // # Usage
 //
--- a/internal/serve/handler/answer.go
+++ b/internal/serve/handler/answer.go
@@ -22,7 +22,8 @@
 	finish() []byte
 	// refuse ends an answer that cannot be completed.
 	refuse(w http.ResponseWriter, p *refusal.Problem)
-	// moved tells the caller where to get the rest.
+	// moved ends an answer that another daemon continues: it sends the token that the caller gets
+	// the rest with.
 	moved(w http.ResponseWriter, token string)
 }
 
@@ -98,8 +99,8 @@
 	w.WriteHeader(http.StatusSeeOther)
 }
 
-// publicFrame returns a copy of a frame with the request id and service name that the
-// caller knows.
+// publicFrame returns a copy of a frame with the request id and service name of the
+// caller's request.
 func publicFrame(f *frame.Frame, c *call.Call) frame.Frame {
 	out := *f
 	out.ID = string(c.Request)
--- a/internal/serve/handler/model.go
+++ b/internal/serve/handler/model.go
@@ -71,7 +71,7 @@
 	out.refuse(w, problem)
 }
 
-// handOver gives the job's state to peers and tells the caller where to resume.
+// handOver gives the job's state to peers and sends the caller the token to resume with.
 func (h *Handler) handOver(w http.ResponseWriter, j *streamer.Job, out answerWriter, claim *claimer.Claim, seal func([]netip.AddrPort) string) {
 	holders := h.c.Transferrer.HandOver(context.Background(), envelope(j, claim))
 	if len(holders) == 0 {
--- a/internal/serve/handler/resume.go
+++ b/internal/serve/handler/resume.go
@@ -76,7 +76,7 @@
 	h.continueRequest(r.Context(), w, e, t, rec)
 }
 
-// requestID returns the request id of an instance, which is what callers know.
+// requestID returns the request id of an instance, as callers use it.
 func requestID(instance identifier.Request) identifier.Request {
 	id, _, _ := strings.Cut(string(instance), "~")
 	return identifier.Request(id)
@@ -132,9 +132,9 @@
 	return nil
 }
 
-// replayMissing first sends the tokens that the state has and the caller lacks, and then
-// continues the stream. A caller may also have more tokens than the state: then nothing
-// is replayed, and the rest must come from the engine.
+// replayMissing first sends the tokens that the state has and the caller does not, and then
+// continues the stream. A caller may also have more tokens than the state: then nothing is
+// replayed, and the rest must come from the engine.
 func (h *Handler) replayMissing(ctx context.Context, w http.ResponseWriter, j *streamer.Job, offset int, claim *claimer.Claim) {
 	if !j.Call.Streaming || j.Call.HoldFor != "" {
 		h.serveModel(ctx, w, j, claim)
--- a/internal/serve/handler/witness.go
+++ b/internal/serve/handler/witness.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// sendHeldNotice tells the caller where and when to collect a held answer.
+// sendHeldNotice answers with where and when to collect a held answer.
 func sendHeldNotice(w http.ResponseWriter, token string) {
 	w.Header().Set("Location", answersPath+token)
 	w.Header().Set("Retry-After", strconv.Itoa(int(heldRetryAfter.Seconds())))
--- a/internal/serve/parser/parser.go
+++ b/internal/serve/parser/parser.go
@@ -49,7 +49,8 @@
 	maxKeyBytes      = 255
 	instanceBytes    = 5
 	digestBytes      = 16
-	// discardFactor times the allowed size is read and discarded of a body that is too large.
+	// Of a body that is too large, at most discardFactor times the allowed size is read and
+	// discarded.
 	discardFactor = 4
 	bearer        = "Bearer "
 	roleAssistant = "assistant"
@@ -167,8 +168,8 @@
 	return applyOptions(r, c)
 }
 
-// input is the part of a model request that the daemon itself uses. The name of the type
-// is in the error that a caller gets for a member of the wrong type.
+// input is the part of a model request that the daemon itself uses. The name of the type must stay:
+// it is part of the error text that a caller gets for a member of the wrong type.
 type input struct {
 	Model     string          `json:"model"`
 	Messages  []message       `json:"messages"`
@@ -245,7 +246,7 @@
 			return err
 		}
 		if in.Messages[i].Role == roleAssistant {
-			// An engine answered the text before this message, so it has processed that.
+			// An engine has answered the text before this message, so it has processed that text.
 			c.PriorTokens = prefix.Tokens(len(c.Prompt))
 		}
 		if c.Conversation == 0 && in.Messages[i].Role == roleUser {
--- a/internal/serve/receiver/receiver.go
+++ b/internal/serve/receiver/receiver.go
@@ -4,8 +4,8 @@
 //
 //	decode → route → organisation → body → quarantine → quota → relay → log
 //
-// Each step may refuse the request as not run. A daemon that has no configuration
-// yet answers 503, never 401 or 404, as it cannot tell what does not exist.
+// Each step may refuse the request as not run. A daemon that has no configuration yet
+// answers 503, never 401 or 404, as it cannot decide what does not exist.
 //
 // After [Receiver.Drain] every answer closes its connection, so that clients move
 // to other daemons with their next request. Requests that were read are still
@@ -129,12 +129,12 @@
 }
 
 // overQuotaReason describes why the quota refused a request, with the figures of the decision.
-func overQuotaReason(q *request.Request, v *quotalimiter.Decision) string {
+func overQuotaReason(q *request.Request, d *quotalimiter.Decision) string {
 	reason := fmt.Sprintf("not run: over the organisation's quota (%s): charge %.0f, left %.0f, %.0f a second, %.2f set aside, "+
 		"used %.2f of the limit, own part %.0f, share %.3f of %.0f asked a second",
-		v.Cause, q.Charge(), v.Level, v.Rate, v.Reserved, v.Used, v.ShareLevel, v.Share, v.Demand)
-	if v.IsolatedFor > 0 {
-		reason += fmt.Sprintf(", cut off for %.1f s", v.IsolatedFor.Seconds())
+		d.Cause, q.Charge(), d.Level, d.Rate, d.Reserved, d.Used, d.ShareLevel, d.Share, d.Demand)
+	if d.IsolatedFor > 0 {
+		reason += fmt.Sprintf(", cut off for %.1f s", d.IsolatedFor.Seconds())
 	}
 	return reason
 }
@@ -142,13 +142,13 @@
 // serve checks quarantine and quota, relays the request and reports its end.
 func (v *Receiver) serve(w http.ResponseWriter, r *http.Request, c *catalog.Catalog, q *request.Request) {
 	v.c.OnArrival(q)
-	if verdict := v.c.Quarantine.Admit(q.Fingerprint(), q.ID); verdict.Held {
-		v.refuse(w, q, &relayer.Result{Outcome: relayer.NotRun, Fingerprint: q.Fingerprint(), Refusal: relayer.QuarantineRefusal(&verdict)})
+	if decision := v.c.Quarantine.Admit(q.Fingerprint(), q.ID); decision.Held {
+		v.refuse(w, q, &relayer.Result{Outcome: relayer.NotRun, Fingerprint: q.Fingerprint(), Refusal: relayer.QuarantineRefusal(&decision)})
 		return
 	}
-	if verdict := v.c.Quota.Admit(q); verdict.RetryAfter > 0 {
+	if decision := v.c.Quota.Admit(q); decision.RetryAfter > 0 {
 		v.refuse(w, q, &relayer.Result{Outcome: relayer.NotRun, Refusal: &relayer.Refusal{
-			Status: http.StatusTooManyRequests, RetryAfter: verdict.RetryAfter, Reason: overQuotaReason(q, &verdict),
+			Status: http.StatusTooManyRequests, RetryAfter: decision.RetryAfter, Reason: overQuotaReason(q, &decision),
 		}})
 		return
 	}
--- a/internal/serve/receiver/receiver_test.go
+++ b/internal/serve/receiver/receiver_test.go
@@ -19,12 +19,12 @@
 func (o *observer) RequestEnded(_ *request.Request, r *relayer.Result) { o.ends = append(o.ends, *r) }
 
 // Guards against a final 404, or 401 for a new key, from a daemon that is behind: it
-// knows the number of the configuration that adds the route or key, but not its
+// has received the number of the configuration that adds the route or key, but not its
 // content. Callers would give up, though other daemons serve the request.
 func TestUnknownRouteIsNotFinalWhileBehind(t *testing.T) {
 	for _, c := range []struct {
 		name, host, key string
-		told            identifier.ConfigurationNumber
+		observed        identifier.ConfigurationNumber
 		status          int
 		again           bool
 	}{
@@ -39,7 +39,7 @@
 				Number: 7, Routes: []catalog.Route{{Host: "a.example", Prefix: "/", Targets: []catalog.Target{{Service: "app", Weight: 1}}}},
 				Organisations: []catalog.Organisation{{Name: "desk", Keys: []string{"k"}}},
 			}))
-			v.ObserveNumber(c.told)
+			v.ObserveNumber(c.observed)
 			retry := time.Duration(0)
 			receiver := New(Config{
 				Versioner: v, Observer: o,
--- a/internal/serve/relayer/ending.go
+++ b/internal/serve/relayer/ending.go
@@ -99,7 +99,7 @@
 	return reason, min(max(time.Until(next), retryAfter), shortageRetryAfter)
 }
 
-// statesNotRun reports whether a status would tell the client that the request did not run.
+// statesNotRun reports whether a status means, to a client, that the request did not run.
 func statesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
--- a/internal/serve/relayer/quarantine.go
+++ b/internal/serve/relayer/quarantine.go
@@ -27,15 +27,15 @@
 }
 
 // QuarantineRefusal returns the refusal of a request that is quarantined and was not sent.
-func QuarantineRefusal(v *quarantiner.Decision) *Refusal {
-	return &Refusal{Status: http.StatusServiceUnavailable, Reason: "not run: " + quarantineReason(v), RetryAfter: v.RetryAfter}
+func QuarantineRefusal(d *quarantiner.Decision) *Refusal {
+	return &Refusal{Status: http.StatusServiceUnavailable, Reason: "not run: " + quarantineReason(d), RetryAfter: d.RetryAfter}
 }
 
 // quarantineReason says why a request is quarantined: which endpoints ended, and when.
-func quarantineReason(v *quarantiner.Decision) string {
-	endings := make([]string, len(v.Endings))
+func quarantineReason(d *quarantiner.Decision) string {
+	endings := make([]string, len(d.Endings))
 	now := time.Now()
-	for i, e := range v.Endings {
+	for i, e := range d.Endings {
 		endings[i] = fmt.Sprintf("%s %.1f s ago", e.Endpoint, now.Sub(e.At).Seconds())
 	}
 	return "endpoints ended while they ran the same request: " + strings.Join(endings, ", ")
--- a/internal/serve/relayer/relayer.go
+++ b/internal/serve/relayer/relayer.go
@@ -48,7 +48,7 @@
 	// maxUnsent is the number of unreachable endpoints that are tried. They do not
 	// count as attempts.
 	maxUnsent = 4
-	// retryAfter is sent when an endpoint refused: the next daemon may know a free one.
+	// retryAfter is sent when an endpoint refused: another daemon may choose a free one.
 	retryAfter = 200 * time.Millisecond
 	// shortageRetryAfter is sent when no endpoint is available: a replacement takes
 	// seconds to start.
--- a/internal/serve/request/request.go
+++ b/internal/serve/request/request.go
@@ -25,7 +25,8 @@
 	Tokens identifier.Tokens
 }
 
-// Request is one attempt of a client.
+// Request is one HTTP request of a client; if the client retries, each retry is a Request of its
+// own.
 type Request struct {
 	ID       identifier.Request
 	Received time.Time
--- a/internal/serve/streamer/streamer.go
+++ b/internal/serve/streamer/streamer.go
@@ -8,10 +8,10 @@
 // [moveMargin] ahead of the deadline, and one that ends sooner does not move.
 //
 // A request is restarted only if no earlier attempt can have run, or if it is
-// idempotent. Resuming a stream is not a second run, as it continues one answer
-// from a known token. If a non-idempotent request may have been sent and no frame
-// came back, only the engine that may hold the stream is asked to resume it. If
-// that engine does not, the outcome is unknown, and the caller is told so.
+// idempotent. Resuming a stream is not a second run, as it continues one answer from a
+// known token. If a non-idempotent request may have been sent and no frame came back,
+// only the engine that may hold the stream is asked to resume it. If that engine does
+// not, the request ends with the outcome unknown.
 //
 // [Streamer.HandOver] interrupts all streams when the entry host leaves. Their Run
 // returns ErrHandOver, and the jobs can be continued by another daemon.
@@ -153,7 +153,7 @@
 }
 
 // finalProblem returns the problem with which a failed attempt ends the job, or nil if
-// the job goes on.
+// the job continues.
 func (s *Streamer) finalProblem(j *Job, err error) *refusal.Problem {
 	var problem *refusal.Problem
 	if errors.As(err, &problem) {
--- a/internal/serve/transferrer/transferrer.go
+++ b/internal/serve/transferrer/transferrer.go
@@ -5,7 +5,7 @@
 // daemon whose caller disconnects keeps the state itself. The resume token names the
 // holders, so that any daemon can fetch the state.
 //
-// An answer that waits for a witness may wait longer than any host lives, so it is
+// An answer that waits for a witness may wait for longer than any host runs, so it is
 // stored on the platform, see [Transferrer.HoldAnswer].
 //
 // # Usage
--- a/internal/standin/engine/admin.go
+++ b/internal/standin/engine/admin.go
@@ -22,9 +22,8 @@
 	answer(w, shown)
 }
 
-// delayed records a report and returns the newest one that is at least the lag old,
-// or the oldest. Leaving is never delayed, as the host itself knows of its reclaim
-// notice.
+// delayed records a report and returns the newest one that is at least the lag old, or
+// the oldest. Leaving is never delayed, as the host itself receives its reclaim notice.
 func (e *Engine) delayed(now report.Report) report.Report {
 	if e.c.LoadLag == 0 {
 		return now
--- a/internal/standin/hosting/store.go
+++ b/internal/standin/hosting/store.go
@@ -323,7 +323,7 @@
 	return http.StatusOK, s.put(kind, name, in.Spec, old.Status)
 }
 
-// faulty reports whether a fault is by now set for a watch that is open.
+// faulty reports whether a fault is set now for a watch that is open.
 func (s *Store) faulty(c Call) bool {
 	s.mu.Lock()
 	fault := s.fault
--- a/internal/standin/plain/plain.go
+++ b/internal/standin/plain/plain.go
@@ -1,9 +1,9 @@
 // Package plain is a stand-in for a service that is not a model engine: an ordinary
 // application behind HTTP.
 //
-// It answers each call with the request that it received, and it counts
-// executions, so that a test can detect a call that ran twice, or that ran although
-// its client was told "not run".
+// It answers each call with the request that it received, and it counts executions, so
+// that a test can detect a call that ran twice, or that ran although its client got the
+// outcome "not run".
 //
 // # Usage
 //
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -1,14 +1,14 @@
 // Package platform is a stand-in for the users' platform.
 //
-// It has the object API with versions, conditional writes and watches, a list of
-// hosts that lags behind, reclaim notices and a cloud API that starts and stops
-// hosts. It injects the faults of the real one: outages, stale reads, lost answers
-// and watches that meet a gap as the history is short. It keeps everything in
-// memory and counts its calls; a watch counts as one call, however long it waits.
+// It has the object API with versions, conditional writes and watches, a list of hosts
+// that lags behind, reclaim notices and a cloud API that starts and stops hosts. It
+// injects the faults of the real one: outages, stale reads, lost answers and watches
+// that miss changes because the history is short. It keeps everything in memory and
+// counts its calls; a watch counts as one call, however long it waits.
 //
 // # Usage
 //
-//	p := platform.New(platform.Config{HostLag: time.Second})
+//	p := platform.New(platform.Config{HostListLag: time.Second})
 //	http.Serve(listener, p)
 //
 // # Paths
@@ -80,7 +80,7 @@
 	RefuseStarts []string
 	// LoseStarts is the number of further starts that take effect without an answer.
 	LoseStarts int
-	// Forget drops the history, so that watches meet a gap.
+	// Forget drops the history, so that watches miss changes.
 	Forget bool
 }
 
--- a/internal/standin/textgenerator/textgenerator.go
+++ b/internal/standin/textgenerator/textgenerator.go
@@ -1,6 +1,6 @@
 // Package textgenerator generates the text of stand-in engines.
 //
-// The text depends only on the prompt and the position, so a test knows each byte
+// The text depends only on the prompt and the position, so a test can compute each byte
 // that a client must receive, whichever engines generated it.
 //
 // # Usage
