--- a/internal/core/retryparser/retryparser.go
+++ b/internal/core/retryparser/retryparser.go
@@ -1,4 +1,4 @@
-// Package retryparser parses the Retry-After header of a response that turns a request away
+// Package retryparser parses the Retry-After header of a response that refuses a request
 // (RFC 9110, section 10.2.3).
 //
 // # Usage
--- a/internal/core/watchdog/watchdog.go
+++ b/internal/core/watchdog/watchdog.go
@@ -2,8 +2,8 @@
 //
 // How long a response takes depends on its size and on the links: a megabyte takes 0.8 s over
 // an idle 10 Mbit/s link and several times that over a busy one. A call with a fixed deadline
-// that is too short restarts from the first byte, fills the link with bytes that are thrown
-// away, and never completes. A server that sends nothing, by contrast, is noticed quickly: the
+// that is too short restarts from the first byte, fills the link with bytes that are
+// discarded, and never completes. A server that sends nothing, by contrast, is detected quickly: the
 // next bytes must arrive within [Config.IdleTimeout].
 //
 // # Usage
--- a/internal/engine/caller/caller.go
+++ b/internal/engine/caller/caller.go
@@ -281,7 +281,7 @@
 	Stored bool
 }
 
-// CacheEvents holds the changes that an engine still remembers; earlier ones may be
+// CacheEvents holds the changes that an engine still keeps; earlier ones may be
 // missing.
 type CacheEvents struct {
 	// Next is the number of the latest change, from which the next call continues.
--- a/internal/engine/sender/sender.go
+++ b/internal/engine/sender/sender.go
@@ -15,7 +15,7 @@
 //
 // # Usage
 //
-//	x, err := s.Send(ctx, &sender.Message{Address: "10.1.0.3:8080", ...})
+//	x, err := s.Send(ctx, &sender.Request{Address: "10.1.0.3:8080", ...})
 //	defer x.Close()
 //	status, header, body := x.Status, x.Header, x.Body
 package sender
@@ -39,7 +39,7 @@
 var (
 	// ErrUnsent means that no byte of the request was sent.
 	ErrUnsent = errors.New("request not sent")
-	// ErrCanceled means that Message.Ready returned false once the connection was
+	// ErrCanceled means that Request.Ready returned false once the connection was
 	// established. Nothing was sent.
 	ErrCanceled = errors.New("request withdrawn before it was sent")
 	// ErrNoResponse means that the request may have been received, but no response
@@ -146,24 +146,24 @@
 // Send writes one request and reads the status and headers of its response. When
 // ctx ends, the connection is closed, which makes the endpoint abort the request.
 // The error wraps one of those declared in this package.
-func (s *Sender) Send(ctx context.Context, m *Request) (*Response, error) {
-	l, err := s.connect(ctx, m.Address)
+func (s *Sender) Send(ctx context.Context, req *Request) (*Response, error) {
+	l, err := s.connect(ctx, req.Address)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
 	}
-	if m.Ready != nil && !m.Ready() {
+	if req.Ready != nil && !req.Ready() {
 		_ = l.Close()
 		return nil, ErrCanceled
 	}
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
-	r, err := newRequest(m)
+	r, err := newRequest(req)
 	if err != nil {
 		stop()
 		_ = l.Close()
 		return nil, fmt.Errorf("%w: %w", ErrUnsent, err)
 	}
 	w := &countingWriter{w: l}
-	buffered := bufio.NewWriterSize(w, len(m.Body)+readBufferBytes)
+	buffered := bufio.NewWriterSize(w, len(req.Body)+readBufferBytes)
 	err = r.Write(buffered)
 	if err == nil {
 		err = buffered.Flush()
@@ -176,7 +176,7 @@
 		}
 		return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 	}
-	x, err := s.readResponse(l, r, m)
+	x, err := s.readResponse(l, r, req)
 	if err != nil {
 		stop()
 		_ = l.Close()
@@ -186,21 +186,21 @@
 	return x, nil
 }
 
-func (s *Sender) readResponse(l *connection, r *http.Request, m *Request) (*Response, error) {
+func (s *Sender) readResponse(l *connection, r *http.Request, req *Request) (*Response, error) {
 	for range maxMismatched + 1 {
 		if _, err := l.reader.Peek(1); err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrNoResponse, err)
 		}
-		resp, err := http.ReadResponse(l.reader, r) //nolint:bodyclose // Exchange.Close ends it
+		resp, err := http.ReadResponse(l.reader, r) //nolint:bodyclose // Response.Close ends it
 		if err != nil {
 			return nil, fmt.Errorf("%w: %w", ErrBadResponse, err)
 		}
-		if m.Matches == nil || m.Matches(resp.Header) {
+		if req.Matches == nil || req.Matches(resp.Header) {
 			x := &Response{Status: resp.StatusCode, Header: resp.Header, sender: s, conn: l, reusable: !resp.Close}
 			x.Body = &body{ReadCloser: resp.Body, x: x}
 			l.keepAlive = defaultKeepAlive
-			if m.KeepAlive != nil {
-				if keep := m.KeepAlive(resp.Header); keep > 0 {
+			if req.KeepAlive != nil {
+				if keep := req.KeepAlive(resp.Header); keep > 0 {
 					l.keepAlive = keep
 				}
 			}
@@ -214,18 +214,18 @@
 	return nil, fmt.Errorf("%w: an answer to another request", ErrBadResponse)
 }
 
-func newRequest(m *Request) (*http.Request, error) {
-	if _, err := url.ParseRequestURI(m.Target); err != nil {
+func newRequest(req *Request) (*http.Request, error) {
+	if _, err := url.ParseRequestURI(req.Target); err != nil {
 		return nil, fmt.Errorf("target: %w", err)
 	}
 	// Opaque keeps the target as the client wrote it.
-	u := &url.URL{Scheme: "http", Host: m.Host, Opaque: m.Target, RawQuery: ""}
+	u := &url.URL{Scheme: "http", Host: req.Host, Opaque: req.Target, RawQuery: ""}
 	r := &http.Request{
-		Method: m.Method, URL: u, Host: m.Host, Header: m.Header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		ContentLength: int64(len(m.Body)),
+		Method: req.Method, URL: u, Host: req.Host, Header: req.Header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		ContentLength: int64(len(req.Body)),
 	}
-	if len(m.Body) > 0 {
-		r.Body = io.NopCloser(bytes.NewReader(m.Body))
+	if len(req.Body) > 0 {
+		r.Body = io.NopCloser(bytes.NewReader(req.Body))
 	}
 	if r.Header.Get("User-Agent") == "" {
 		r.Header["User-Agent"] = []string{""}
@@ -325,7 +325,7 @@
 }
 
 // Close ends the exchange. A connection whose response was read to its end is kept
-// for reuse. Any other is closed, so that the rest of its response can't be taken
+// for reuse. Any other is closed, so that the rest of its response can't be mistaken
 // for part of the next one.
 func (x *Response) Close() {
 	if x.conn == nil {
@@ -341,7 +341,7 @@
 	_ = l.Close()
 }
 
-// body is the body of an exchange.
+// body is the body of a response.
 type body struct {
 	io.ReadCloser
 	x *Response
--- a/internal/engine/sender/sender_test.go
+++ b/internal/engine/sender/sender_test.go
@@ -28,7 +28,7 @@
 	return server.Listener.Addr().String()
 }
 
-func message(address, id string) *Request {
+func testRequest(address, id string) *Request {
 	return &Request{
 		Address: address, Method: http.MethodPost, Target: "/x/a%2Fb?c=%20", Host: "desk.example", Body: []byte("body"),
 		Header:  http.Header{"Request-Id": {id}},
@@ -36,9 +36,9 @@
 	}
 }
 
-func exchange(t *testing.T, s *Sender, m *Request) (string, error) {
+func sendAndRead(t *testing.T, s *Sender, req *Request) (string, error) {
 	t.Helper()
-	x, err := s.Send(t.Context(), m)
+	x, err := s.Send(t.Context(), req)
 	if err != nil {
 		return "", err
 	}
@@ -52,7 +52,7 @@
 	s, opened := newSender(t)
 	address := serve(t, e)
 	for range 5 {
-		if body, err := exchange(t, s, message(address, "r-1")); err != nil || body != e.AnswerBody() {
+		if body, err := sendAndRead(t, s, testRequest(address, "r-1")); err != nil || body != e.AnswerBody() {
 			t.Fatalf("%q, %v", body, err)
 		}
 	}
@@ -74,12 +74,12 @@
 	defer server.Close()
 	s, opened := newSender(t)
 	address := server.Listener.Addr().String()
-	if _, err := exchange(t, s, message(address, "r-1")); err != nil {
+	if _, err := sendAndRead(t, s, testRequest(address, "r-1")); err != nil {
 		t.Fatal(err)
 	}
 	server.CloseClientConnections()
 	for range 20 {
-		if _, err := exchange(t, s, message(address, "r-2")); err != nil {
+		if _, err := sendAndRead(t, s, testRequest(address, "r-2")); err != nil {
 			t.Fatalf("after the close: %v", err)
 		}
 	}
@@ -96,12 +96,12 @@
 	unused := closed.Addr().String()
 	_ = closed.Close()
 	s, _ := newSender(t)
-	if _, err := exchange(t, s, message(unused, "r")); !errors.Is(err, ErrUnsent) {
+	if _, err := sendAndRead(t, s, testRequest(unused, "r")); !errors.Is(err, ErrUnsent) {
 		t.Errorf("connection refused: %v", err)
 	}
 	dropping := hosting.NewEngine(hosting.Config{ID: "i-1"})
 	dropping.SetBehaviour(func(*http.Request) hosting.Behaviour { return hosting.CloseUnanswered })
-	if _, err := exchange(t, s, message(serve(t, dropping), "r")); !errors.Is(err, ErrNoResponse) {
+	if _, err := sendAndRead(t, s, testRequest(serve(t, dropping), "r")); !errors.Is(err, ErrNoResponse) {
 		t.Errorf("no answer: %v", err)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -120,7 +120,7 @@
 			_ = c.Close()
 		}
 	}()
-	if _, err := exchange(t, s, message(l.Addr().String(), "r")); !errors.Is(err, ErrBadResponse) {
+	if _, err := sendAndRead(t, s, testRequest(l.Addr().String(), "r")); !errors.Is(err, ErrBadResponse) {
 		t.Errorf("no HTTP: %v", err)
 	}
 }
@@ -140,7 +140,7 @@
 	d := &blockingDialer{proceed: make(chan struct{})}
 	s := New(Config{Dialer: d})
 	var leaving atomic.Bool
-	m := message(serve(t, e), "r-1")
+	m := testRequest(serve(t, e), "r-1")
 	m.Ready = func() bool { return !leaving.Load() }
 	done := make(chan error, 1)
 	go func() {
@@ -162,12 +162,12 @@
 	s, opened := newSender(t)
 	address := serve(t, e)
 	for _, listed := range []bool{true, false} {
-		if _, err := exchange(t, s, message(address, "r")); err != nil {
+		if _, err := sendAndRead(t, s, testRequest(address, "r")); err != nil {
 			t.Fatal(err)
 		}
 		s.Prune(func(string) bool { return listed })
 	}
-	if _, err := exchange(t, s, message(address, "r")); err != nil {
+	if _, err := sendAndRead(t, s, testRequest(address, "r")); err != nil {
 		t.Fatal(err)
 	}
 	if n := opened.Load(); n != 2 {
@@ -180,7 +180,7 @@
 	server := httptest.NewServer(e)
 	defer server.Close()
 	s := New(Config{Dialer: &net.Dialer{Timeout: time.Second}})
-	m := message(server.Listener.Addr().String(), "r")
+	m := testRequest(server.Listener.Addr().String(), "r")
 	m.Body = []byte(strings.Repeat("x", 17_000))
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/ops/accesslogger/accesslogger_test.go
+++ b/internal/ops/accesslogger/accesslogger_test.go
@@ -39,9 +39,9 @@
 	if lines < maxFailedLinesPerSecond || lines > 2*maxFailedLinesPerSecond {
 		t.Errorf("%d lines in a burst, the limit is %d per second", lines, maxFailedLinesPerSecond)
 	}
-	for _, word := range []string{`"request":"r-1"`, `"outcome":"unknown"`, `"configuration":7`, "i-1 at 0ms predicted 30ms cached 13000", "3 leaving, 0 ejected, 0 full, 1 tried"} {
-		if !strings.Contains(out.String(), word) {
-			t.Errorf("no line contains %s", word)
+	for _, want := range []string{`"request":"r-1"`, `"outcome":"unknown"`, `"configuration":7`, "i-1 at 0ms predicted 30ms cached 13000", "3 leaving, 0 ejected, 0 full, 1 tried"} {
+		if !strings.Contains(out.String(), want) {
+			t.Errorf("no line contains %s", want)
 		}
 	}
 }
--- a/internal/peer/aggregator/aggregator.go
+++ b/internal/peer/aggregator/aggregator.go
@@ -2,14 +2,14 @@
 //
 // If each daemon sends each other one what it charges, demands and sends to endpoints, the cost
 // grows with the square of the fleet: with 195 daemons digests were 6 to 13 s old, and a run of
-// 80 s took 0.04 of a core a daemon. All that readers need are sums. So a few relays of each
+// 80 s took 0.04 of a core per daemon. All that readers need are sums. So a few relays of each
 // availability zone receive the digests of its daemons, send the relays of the other zones the
 // sum of their zone, and send each daemon of their own zone the sum of all others.
 //
 // Charges are sent as running totals. A relay adds up what each process of its zone has charged
 // since the relay first heard it, so its totals only rise. Digests that are not newer than the
-// last one of the same process are ignored. So digests that are late, doubled or reordered
-// change nothing.
+// last one of the same process are ignored. So digests that arrive late, twice or out of
+// order change nothing.
 //
 // Several relays sum the same zone, and their sums are never added to each other. A reader
 // follows one relay, the primary: the first by rank that was heard lately and hears enough of
@@ -24,7 +24,7 @@
 //	a.ApplyOwn(digest, now)
 //	update, changed := a.Merge(digest, relaying, now)
 //	digest.Summary = a.ZoneSum(now) // to relays of other zones
-//	digest.Summary = a.FleetSumExcept(receiver, now) // to daemons of the own zone
+//	digest.Summary = a.FleetSumExcept(receiver, now) // to daemons of its own zone
 package aggregator
 
 import (
@@ -37,7 +37,7 @@
 
 const (
 	// silentAfter is the age of a daemon's last digest from which it counts as silent: it may be
-	// cut off and still serve. After forgetAfter it counts as gone.
+	// cut off and still serve. After forgetAfter it counts as ended.
 	silentAfter = 3 * time.Second
 	forgetAfter = 30 * time.Second
 	// joinAge is the age of a process up to which all that it has charged since its start counts
@@ -105,9 +105,9 @@
 	// zoneSums and fleetSums are the last sums of this daemon's zone and of the fleet.
 	zoneSums, fleetSums *sums
 	summedAt            time.Time
-	// reported means that an update was returned.
+	// reported is set once an update was returned.
 	reported bool
-	// rejected counts the items of messages that were left out.
+	// rejected counts the invalid items that were left out of messages.
 	rejected int
 }
 
@@ -281,7 +281,7 @@
 }
 
 // OthersSum returns the demands of all other daemons and what they send to each endpoint. A relay
-// sums them itself, any other daemon has them from a relay; they are empty if it hears none.
+// sums them itself, any other daemon has them from a relay; they are empty if it hears no relay.
 func (a *Aggregator) OthersSum(relaying bool, now time.Time) *rpc.Summary {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -318,7 +318,7 @@
 	}
 	for _, g := range a.zones {
 		if now.Sub(g.heardAt) > forgetAfter {
-			// Its relays are gone. Its totals stay, as totals only rise.
+			// All relays of the group are silent. Its totals stay, as totals only rise.
 			g.sources = nil
 		}
 		a.fleetSums.addGroup(g, now)
--- a/internal/peer/aggregator/aggregator_test.go
+++ b/internal/peer/aggregator/aggregator_test.go
@@ -185,9 +185,9 @@
 	return sum
 }
 
-// Whichever processes end and come back, and whichever digests are late or doubled, no daemon
-// may take the others to have charged more than they did, and after some rounds without change
-// all must know all charges. One daemon of a zone, possibly a relay, is down at a time. Only
+// Processes end and restart, and digests arrive late or twice. No daemon may count more charges of
+// the others than they made, and after some rounds without change all must know all charges. One
+// daemon of a zone, possibly a relay, is down at a time. Only
 // charges made while some daemons followed a relay that had just ended, or that knew less than
 // the one before, may be missing, or count twice on each of their two steps: from a relay of one
 // zone to one of another, and from there to a daemon.
--- a/internal/peer/aggregator/group.go
+++ b/internal/peer/aggregator/group.go
@@ -12,12 +12,12 @@
 
 const (
 	// sourceTimeout is how long the primary is silent before another relay is followed. Relays
-	// send their sums each 0.4 s.
+	// send their sums every 0.4 s.
 	sourceTimeout = 1300 * time.Millisecond
-	// minCoverage is the part of the daemons heard by another relay that a relay must hear to be
-	// followed.
+	// minCoverage is the fraction of the daemons heard by another relay that a relay must hear to
+	// be followed.
 	minCoverage = 0.5
-	// coverageTime is for how long it must have heard them. A relay that comes back after a
+	// coverageTime is how long the relay must have heard them. A relay that comes back after a
 	// partition catches up with charges that others have long reported, and these must not count
 	// again.
 	coverageTime = 2 * time.Second
@@ -86,7 +86,7 @@
 	primary := g.choosePrimary(now)
 	switch {
 	case primary != host && (primary != g.primary || g.primary == ""):
-		// Another relay is followed from now on; its own update comes soon.
+		// Another relay is followed from now on; its own update follows shortly.
 		g.follow(primary, start, now)
 		return true
 	case primary != host:
@@ -150,7 +150,8 @@
 	return best
 }
 
-// updateCoverage updates which relays hear enough of the group, and drops those that are gone.
+// updateCoverage updates which relays hear enough of the group, and drops those silent for longer
+// than forgetAfter.
 func (g *group) updateCoverage(now time.Time) {
 	most := uint32(0)
 	for host, s := range g.sources {
@@ -190,8 +191,8 @@
 		g.addIncrease(s.marks, s.totals, now)
 		g.age += now.Sub(g.heardAt)
 	default:
-		// It is not known what was charged since the last update. The estimate is that the rates
-		// went on and faded with their time constant.
+		// It is not known what was charged since the last update. The estimate assumes that the
+		// rates continued and decayed with their time constant.
 		gap := rateTimeConstant.Seconds() * (1 - math.Exp(-now.Sub(g.heardAt).Seconds()/rateTimeConstant.Seconds()))
 		for o, rate := range g.rates {
 			g.totals[o] += rate * gap
--- a/internal/peer/aggregator/sums.go
+++ b/internal/peer/aggregator/sums.go
@@ -110,8 +110,8 @@
 	getOrCreate(s.charges, organisation).total += total
 }
 
-// addMember adds a daemon, without its totals, which are kept for the whole zone. Nothing else
-// counts of a silent one. The levels are those of the daemon that sums.
+// addMember adds a daemon, without its totals, which are kept for the whole zone. A silent daemon
+// is only counted. The levels are those of the daemon that sums.
 func (s *sums) addMember(m *member, silent, own bool) {
 	s.daemons++
 	if silent {
@@ -207,8 +207,8 @@
 	return out
 }
 
-// subtract collects the part of a daemon, as of its last digest, in negative as negative sums,
-// and takes the daemon off the number in out.
+// subtract adds the contribution of a daemon, as of its last digest, to negative with a negative
+// sign, and subtracts the daemon from the count in out.
 func (s *sums) subtract(m *member, negative *sums, out *rpc.Summary) {
 	out.Daemons = uint32(max(s.daemons-1, 0))
 	out.Silent = min(out.Silent, out.Daemons)
--- a/internal/peer/crashreporter/crashreporter.go
+++ b/internal/peer/crashreporter/crashreporter.go
@@ -1,18 +1,18 @@
-// Package crashreporter finds out whether endpoints crashed under requests, and exchanges the
-// findings with peers.
+// Package crashreporter detects whether endpoints crashed while they ran requests, and exchanges
+// the results with peers.
 //
 // When an endpoint breaks off a request, a probe of its address (package prober) shows whether
-// its process has ended. Endpoints that are known to leave are not probed, as their end is
-// expected. Findings go to the quarantine (package quarantiner), which decides whether the
-// request gets further endpoints.
+// its process has ended. Endpoints that are known to be leaving are not probed, as their end
+// is expected. Endings found go to the quarantine (package quarantiner), which decides whether the
+// request may go to further endpoints.
 //
 // [Reporter.RPCSuspects] returns the suspects that a daemon sends to others,
-// [Reporter.MergeSuspects] merges those of others. New findings are sent at once, through the
-// callback OnNews.
+// [Reporter.MergeSuspects] merges those of others. New ones are sent at once: the callback
+// Config.OnChange triggers it.
 //
 // # Usage
 //
-//	r := crashreporter.New(crashreporter.Config{Host: name, Dialer: d, Leaving: registry.Leaving, OnNews: trigger, ...})
+//	r := crashreporter.New(crashreporter.Config{Host: name, Dialer: d, OnChange: trigger, ...})
 //	r.ReportBreak(ctx, &crashreporter.BrokenRequest{Fingerprint: f, Request: id, Pick: pick})
 package crashreporter
 
@@ -44,13 +44,13 @@
 type Config struct {
 	Host   identifier.Host
 	Dialer prober.Dialer
-	// Leaving reports whether an endpoint is known to leave.
+	// Leaving reports whether an endpoint is known to be leaving.
 	Leaving func(*registry.Pick) (deadline time.Time, leaving bool)
 	// Incarnation returns the incarnation of an endpoint, the same at all daemons. If nil, it is
 	// the endpoint's start time.
 	Incarnation func(*registry.Pick) identifier.StartTime
-	// OnChange is called when suspects have changed. own is true for findings of this daemon,
-	// false for those of others.
+	// OnChange is called when suspects have changed. own is true for suspects that this
+	// daemon found, false for those merged from others.
 	OnChange func(own bool)
 	Logger   *log.Logger
 	Metrics  tally.Scope
@@ -65,7 +65,7 @@
 	Events int
 }
 
-// Reporter is a daemon's quarantine with the probes and messages that feed it. It is safe for
+// Reporter is a daemon's quarantine, fed by its own probes and by messages of peers. It is safe for
 // concurrent use.
 type Reporter struct {
 	*quarantiner.Quarantiner
--- a/internal/peer/crashreporter/crashreporter_test.go
+++ b/internal/peer/crashreporter/crashreporter_test.go
@@ -39,13 +39,13 @@
 	return near, nil
 }
 
-// newReporter returns a reporter that counts its own findings in spread.
-func newReporter(h host, leaving bool, ownNews *atomic.Int32) *Reporter {
+// newReporter returns a reporter that counts the changes of its own suspects in ownChanges.
+func newReporter(h host, leaving bool, ownChanges *atomic.Int32) *Reporter {
 	return New(Config{
 		Host: "a", Dialer: h, Leaving: func(*registry.Pick) (time.Time, bool) { return time.Time{}, leaving },
 		OnChange: func(own bool) {
 			if own {
-				ownNews.Add(1)
+				ownChanges.Add(1)
 			}
 		}, Logger: log.New(io.Discard), Metrics: tally.NoopScope,
 	})
@@ -69,29 +69,29 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				var spread atomic.Int32
-				r := newReporter(c.h, c.leaving, &spread)
+				var ownChanges atomic.Int32
+				r := newReporter(c.h, c.leaving, &ownChanges)
 				begun := time.Now()
 				r.ReportBreak(t.Context(), &BrokenRequest{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}})
 				if took := time.Since(begun); took > maxProbeWait {
 					t.Errorf("the request was held up for %v", took)
 				}
 				time.Sleep(time.Second)
-				if known := len(r.List()) == 1; known != c.counts || spread.Load() == 1 != c.counts {
-					t.Errorf("known %v, spread %d times, want %v", known, spread.Load(), c.counts)
+				if known := len(r.List()) == 1; known != c.counts || ownChanges.Load() == 1 != c.counts {
+					t.Errorf("known %v, %d own changes, want %v", known, ownChanges.Load(), c.counts)
 				}
 			})
 		})
 	}
 }
 
-// An endpoint had sent events of a stream when its engine ended: most likely another request
-// ended it.
+// An endpoint had already sent events of a stream when it ended: another request is the more likely
+// cause, so the ending counts only as weak evidence.
 func TestEndingAfterEventsIsWeak(t *testing.T) {
 	for events, weak := range map[int]bool{0: false, 3: true} {
 		synctest.Test(t, func(t *testing.T) {
-			var spread atomic.Int32
-			r := newReporter(host{time.Millisecond, syscall.ECONNREFUSED}, false, &spread)
+			var ownChanges atomic.Int32
+			r := newReporter(host{time.Millisecond, syscall.ECONNREFUSED}, false, &ownChanges)
 			r.ReportBreak(t.Context(), &BrokenRequest{Fingerprint: "f", Request: "r", Pick: &registry.Pick{Endpoint: "i-1"}, Events: events})
 			if got := r.List()[0].Endings[0].Weak; got != weak {
 				t.Errorf("after %d events: weak %v", events, got)
@@ -102,8 +102,8 @@
 
 // Messages of other daemons may be of a later version, or faulty.
 func TestInvalidSuspectsAreIgnored(t *testing.T) {
-	var spread atomic.Int32
-	r := newReporter(host{}, false, &spread)
+	var ownChanges atomic.Int32
+	r := newReporter(host{}, false, &ownChanges)
 	many := make([]*rpc.Ending, 100)
 	for i := range many {
 		many[i] = &rpc.Ending{Endpoint: string(rune('a' + i)), AgeMilli: int64(i)}
--- a/internal/peer/fetcher/fetcher.go
+++ b/internal/peer/fetcher/fetcher.go
@@ -1,9 +1,9 @@
-// Package fetcher fetches from peers the objects that this daemon lacks.
+// Package fetcher fetches objects that this daemon is missing from peers.
 //
 // Each peer that announces a higher revision is a source. A fetch asks one of them at random, so
 // dozens of daemons that lack the same change spread over those that have it, and each daemon
-// that has fetched it becomes a source. A source that is busy serving others is paused for a
-// moment, and the peers that it names are asked meanwhile.
+// that has fetched it becomes a source. A source that is busy serving others is paused
+// for [busyPause], and the peers that it names are asked in the meantime.
 //
 // A revision that is announced during a fetch leads to another fetch afterwards. If it were
 // dropped, the daemon would lag until the next digest, which in a large fleet comes seconds
@@ -30,9 +30,9 @@
 )
 
 const (
-	// busyPause is how long a source that is busy serving others is paused: it has sent the
-	// answers that it had admitted within half a second. failedPause is how long a source is
-	// paused after a failure. Both are drawn between half and one and a half of that.
+	// busyPause is how long a source that is busy serving others is paused: it sends the
+	// answers that it has admitted within half a second. failedPause is how long a source is
+	// paused after a failure. Both are randomized between 0.5 and 1.5 times the value.
 	busyPause   = 100 * time.Millisecond
 	failedPause = 200 * time.Millisecond
 	// maxFailures is how often a source may fail, or have nothing newer, before it is dropped.
--- a/internal/peer/fetcher/fetcher_test.go
+++ b/internal/peer/fetcher/fetcher_test.go
@@ -14,9 +14,9 @@
 	"brasschute/internal/peer/supplier"
 )
 
-// An engine begins to leave while a daemon fetches an earlier change. The note of it came during
-// the fetch and was dropped, and for three seconds more the daemon sent requests to the leaving
-// engine.
+// An engine begins to leave while a daemon fetches an earlier change. The note about the departure
+// arrived during the fetch and was dropped, and the daemon kept sending requests to the leaving
+// engine for three more seconds.
 func TestRevisionAnnouncedDuringAFetchIsFetched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		revision, taken := uint64(1), uint64(0)
--- a/internal/peer/gossiper/gossiper.go
+++ b/internal/peer/gossiper/gossiper.go
@@ -1,17 +1,17 @@
-// Package gossiper exchanges news with peers by gossip and answers their calls.
+// Package gossiper exchanges gossip messages with peers and answers their calls.
 //
-// Each period the gossiper swaps news with one peer: mostly one of its own zone, at times one of
-// another zone, and now and then a dead one, because after a partition each side takes the other
-// for dead and one of them must try. The bytes of a period do not depend on the size of the
-// fleet.
+// Once per period the gossiper swaps messages with one peer: mostly one of its own zone, sometimes
+// one of another zone, and occasionally a dead one, because after a partition each side considers
+// the other dead and one of them must try. The bytes sent per period do not depend on the size of
+// the fleet.
 //
 // A host that begins to leave, and a new configuration, do not wait for the period: the daemon
 // passes them at once to [fanOut] peers, and each of these does the same, so that they reach n
 // daemons in about log(n) round trips.
 //
-// News carry only the number of the configuration in force. A daemon that sees a higher one
-// fetches the configuration from the peer that sent it. So a daemon that is cut off from the
-// platform, or that starts during an outage, gets its configuration from peers.
+// A message carries only the number of the configuration in force. A daemon that sees a higher
+// number fetches the configuration from the peer that sent it. So a daemon that is cut off from
+// the platform, or that starts during an outage, gets its configuration from peers.
 //
 // # Usage
 //
@@ -47,15 +47,15 @@
 	defaultPeriod = time.Second
 	callTimeout   = time.Second
 	// fetchTimeout bounds the transfer of a configuration while its bytes arrive; a transfer
-	// without bytes ends after callTimeout. Given up after a fixed second, a transfer over a
-	// narrow link began anew each time and never ended.
+	// without bytes ends after callTimeout. With a fixed timeout of one second, a transfer over a
+	// narrow link was restarted each time and never completed.
 	fetchTimeout = 5 * time.Second
 	fanOut       = 3
 	// Every otherZoneEvery-th round goes to another zone, every deadEvery-th to a dead member.
 	otherZoneEvery = 4
 	deadEvery      = 10
 	// maxLoads keeps a message within the bound on control traffic: four messages pass through a
-	// daemon each period.
+	// daemon per period.
 	maxLoads   = 8
 	maxLoadAge = 8 * time.Second
 )
@@ -111,7 +111,7 @@
 	return rpc.NewPeerProtobufClient("http://"+address, g.c.Client)
 }
 
-// Trigger makes Serve swap news with [fanOut] peers at once.
+// Trigger makes Serve swap messages with [fanOut] peers at once.
 func (g *Gossiper) Trigger() {
 	select {
 	case g.urgent <- struct{}{}:
@@ -119,14 +119,14 @@
 	}
 }
 
-// ShareReport adds an endpoint's load report, taken by this daemon, to the news for peers.
+// ShareReport adds an endpoint's load report, taken by this daemon, to the messages for peers.
 func (g *Gossiper) ShareReport(r *report.Report, taken time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.loads[r.Endpoint] = timedReport{*r, taken}
 }
 
-// Serve swaps news each period until ctx ends, and returns its error.
+// Serve swaps messages once per period until ctx ends, and returns its error.
 func (g *Gossiper) Serve(ctx context.Context) error {
 	tick := time.NewTicker(g.c.Period)
 	defer tick.Stop()
@@ -143,7 +143,7 @@
 	}
 }
 
-// swapWithOne swaps news with one seed or member.
+// swapWithOne swaps messages with one seed or member.
 func (g *Gossiper) swapWithOne(ctx context.Context) {
 	g.round++
 	members := g.c.Members.Members()
@@ -206,7 +206,7 @@
 	return nil
 }
 
-// swapWithSeveral swaps news with [fanOut] random live members at once.
+// swapWithSeveral swaps messages with [fanOut] random live members at once.
 func (g *Gossiper) swapWithSeveral(ctx context.Context) {
 	members := g.c.Members.Alive()
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
@@ -217,16 +217,16 @@
 	group.Wait()
 }
 
-// AnnounceShutdown sends the daemon's last news to some peers and waits for their answers.
+// AnnounceShutdown sends the daemon's last message to some peers and waits for their answers.
 func (g *Gossiper) AnnounceShutdown(ctx context.Context) { g.swapWithSeveral(ctx) }
 
-// swap exchanges news with the peer at an address. If it fails, the host, if known, becomes a
+// swap exchanges messages with the peer at an address. If it fails, the host, if known, becomes a
 // suspect.
 func (g *Gossiper) swap(ctx context.Context, host identifier.Host, address string) {
 	call, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	out := g.c.Members.NextMessage()
-	g.fillNews(out)
+	g.fillMessage(out)
 	in, err := g.Peer(address).Exchange(call, out)
 	if err != nil {
 		if ctx.Err() == nil && host != "" {
@@ -237,8 +237,8 @@
 	g.merge(ctx, in)
 }
 
-// fillNews adds loads, quarantine suspects and the configuration's number to a message.
-func (g *Gossiper) fillNews(n *rpc.News) {
+// fillMessage adds loads, quarantine suspects and the configuration's number to a message.
+func (g *Gossiper) fillMessage(n *rpc.News) {
 	n.ConfigurationNumber = uint64(g.c.Keeper.Number())
 	n.Suspects = g.c.Reporter.RPCSuspects()
 	now := time.Now()
@@ -321,7 +321,7 @@
 	_, _ = g.c.Keeper.Offer(reply.Source, &change)
 }
 
-// Exchange returns this daemon's news, and merges the peer's in the background. It implements
+// Exchange returns this daemon's message, and merges the peer's in the background. It implements
 // rpc.Peer, as the methods below do.
 func (g *Gossiper) Exchange(ctx context.Context, in *rpc.News) (*rpc.News, error) {
 	go g.merge(context.WithoutCancel(ctx), in)
@@ -329,7 +329,7 @@
 	if in.Full {
 		out = g.c.Members.FullMessage()
 	}
-	g.fillNews(out)
+	g.fillMessage(out)
 	return out, nil
 }
 
@@ -348,7 +348,7 @@
 	return &rpc.ConfigurationReply{Number: uint64(s.Number()), Source: s.Source, ChangeJson: string(change)}
 }
 
-// Offer takes in a peer's configuration, if it is newer, and returns the number then in force.
+// Offer accepts a peer's configuration, if it is newer, and returns the number then in force.
 func (g *Gossiper) Offer(_ context.Context, in *rpc.ConfigurationReply) (*rpc.ConfigurationRequest, error) {
 	if in.Source != "" {
 		g.offerConfiguration(in)
--- a/internal/peer/membertracker/membertracker.go
+++ b/internal/peer/membertracker/membertracker.go
@@ -1,6 +1,6 @@
 // Package membertracker keeps the membership of the entry daemons, as it is gossiped.
 //
-// Each daemon has a [Tracker] and, once a period, swaps [rpc.News] with one peer. A message
+// Each daemon has a [Tracker] and swaps a message ([rpc.News]) with one peer per period. A message
 // holds the sender, the few changes that it has sent least often, and a digest of all members.
 // Only changes are sent, so the bytes of a fleet without changes do not grow with its size. When
 // digests still differ after some rounds, a full exchange is requested.
@@ -12,12 +12,12 @@
 // whose clock is behind, counts as alive again, and a stale record of it does not change that.
 //
 // A host of endpoints that is leaving is recorded with its incarnation. The recorded incarnation
-// only rises, so a leaving host can't become a staying one by late news.
+// only rises, so a delayed message can't make a leaving host count as staying.
 //
 // # Usage
 //
 //	t := membertracker.New(membertracker.Config{Self: self})
-//	out := t.News()
+//	out := t.NextMessage()
 //	t.Merge(in, time.Now())
 //
 // The tracker performs no I/O and reads no clock: callers pass the time.
@@ -48,8 +48,8 @@
 	maxLeaving = 8192
 	// suspicionTimeout is how long a suspect may refute the suspicion before it counts as dead.
 	suspicionTimeout = 5 * time.Second
-	// deadRetention is how long the record of a dead member is kept, so that late news of its
-	// last incarnation does not revive it.
+	// deadRetention is how long the record of a dead member is kept, so that a delayed
+	// message about its last incarnation does not revive it.
 	deadRetention = 10 * time.Minute
 	// leavingRetention is longer than any platform outage in which the host list would still
 	// show a leaving host as live.
@@ -89,7 +89,7 @@
 	differingDigests int
 }
 
-// New returns a tracker that knows only its own daemon.
+// New returns a tracker with only its own daemon.
 func New(c Config) *Tracker {
 	return &Tracker{self: clone(c.Self), members: make(map[identifier.Host]*member), leaving: make(map[identifier.Host]*departure)}
 }
@@ -229,8 +229,8 @@
 	t.self.State = rpc.State_DEAD
 }
 
-// NextMessage returns the message for one exchange. It is a full one, as a request for a full answer,
-// if digests kept differing or no member is known.
+// NextMessage returns the message for one exchange. If digests kept differing or no member is
+// known, it is a full message, which asks the peer for a full answer.
 func (t *Tracker) NextMessage() *rpc.News {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -345,7 +345,7 @@
 }
 
 // stopSending stops a record from being sent: it came in a full message, and every daemon has
-// had one. Otherwise each join would make all records be sent again.
+// received one. Otherwise each join would make all records be sent again.
 func (t *Tracker) stopSending(in *rpc.Member) {
 	if m := t.members[identifier.Host(in.Host)]; m != nil && m.record.Incarnation == in.Incarnation {
 		m.sent = max(m.sent, t.sendLimit())
@@ -408,7 +408,7 @@
 
 // refute answers a record about the daemon itself by raising its incarnation. Otherwise a daemon
 // that was paused for longer than the suspicion timeout would stay dead for all others, and a
-// restarted one whose clock is behind would be taken for its former process.
+// restarted one whose clock is behind would be mistaken for its former process.
 func (t *Tracker) refute(in *rpc.Member) {
 	if t.self.State == rpc.State_DEAD || in.Incarnation < t.self.Incarnation {
 		return
--- a/internal/peer/membertracker/membertracker_test.go
+++ b/internal/peer/membertracker/membertracker_test.go
@@ -17,11 +17,11 @@
 
 func newTracker() *Tracker { return New(Config{Self: record("1", 1, rpc.State_ALIVE)}) }
 
-func news(members ...*rpc.Member) *rpc.News { return &rpc.News{Members: members} }
+func message(members ...*rpc.Member) *rpc.News { return &rpc.News{Members: members} }
 
 func TestMergeOrderDoesNotMatter(t *testing.T) {
-	// News may arrive in any order and more than once. All trackers that received the same news
-	// must agree.
+	// Messages may arrive in any order and more than once. All trackers that received the same
+	// ones must agree.
 	now := time.Now()
 	rapid.Check(t, func(rt *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) *rpc.Member {
@@ -30,11 +30,11 @@
 		}), 1, 12).Draw(rt, "records")
 		a, b := newTracker(), newTracker()
 		for _, r := range records {
-			a.Merge(news(r), now)
+			a.Merge(message(r), now)
 		}
 		order := rapid.Permutation(append(append([]*rpc.Member{}, records...), records...)).Draw(rt, "order")
 		for _, r := range order {
-			b.Merge(news(r), now)
+			b.Merge(message(r), now)
 		}
 		if x, y := fmt.Sprint(a.Members()), fmt.Sprint(b.Members()); x != y {
 			rt.Fatalf("%s\n%s", x, y)
@@ -45,7 +45,7 @@
 	})
 }
 
-// Late news of a lower incarnation must not make a leaving host count as staying.
+// A delayed message about a lower incarnation must not make a leaving host count as staying.
 func TestLeavingIsNeverUndone(t *testing.T) {
 	now := time.Now()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -63,15 +63,15 @@
 	})
 }
 
-// A daemon must outbid records of itself that are not alive or are of a higher incarnation, and
-// no others.
+// A daemon must refute records of itself that are not alive or are of a higher incarnation, by
+// raising its incarnation above theirs, and no others.
 func TestRefute(t *testing.T) {
 	cases := []struct {
 		name string
 		in   *rpc.Member
 		want uint64
 	}{
-		{"old news", record("1", 0, rpc.State_DEAD), 1},
+		{"old record", record("1", 0, rpc.State_DEAD), 1},
 		{"alive in this incarnation", record("1", 1, rpc.State_ALIVE), 1},
 		{"suspect in this incarnation", record("1", 1, rpc.State_SUSPECT), 2},
 		{"dead in this incarnation", record("1", 1, rpc.State_DEAD), 2},
@@ -80,7 +80,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			tracker := newTracker()
-			tracker.Merge(news(c.in), time.Now())
+			tracker.Merge(message(c.in), time.Now())
 			if got := tracker.Self(); got.Incarnation != c.want || got.State != rpc.State_ALIVE {
 				t.Errorf("%v", got)
 			}
@@ -91,7 +91,7 @@
 func TestSuspicion(t *testing.T) {
 	now := time.Now()
 	tracker := newTracker()
-	tracker.Merge(news(record("2", 1, rpc.State_ALIVE)), now)
+	tracker.Merge(message(record("2", 1, rpc.State_ALIVE)), now)
 	tracker.MarkUnreachable("2", now)
 	tracker.Tick(now.Add(suspicionTimeout / 2))
 	if got := tracker.Members()[0].State; got != rpc.State_SUSPECT {
@@ -101,7 +101,7 @@
 	if got := tracker.Members()[0].State; got != rpc.State_DEAD || tracker.Count() != 1 {
 		t.Fatal(got)
 	}
-	tracker.Merge(news(record("2", 2, rpc.State_ALIVE)), now)
+	tracker.Merge(message(record("2", 2, rpc.State_ALIVE)), now)
 	if tracker.Count() != 2 {
 		t.Fatal("a new incarnation does not count as alive")
 	}
@@ -111,7 +111,7 @@
 	now := time.Now()
 	tracker := newTracker()
 	for i := range 60 {
-		tracker.Merge(news(record(fmt.Sprint(i+2), 1, rpc.State_ALIVE)), now)
+		tracker.Merge(message(record(fmt.Sprint(i+2), 1, rpc.State_ALIVE)), now)
 		tracker.MarkLeaving(identifier.Host(fmt.Sprint(i)), 1, now, now)
 	}
 	tracker.Merge(&rpc.News{Full: true}, now)
--- a/internal/peer/mirror/mirror.go
+++ b/internal/peer/mirror/mirror.go
@@ -8,8 +8,8 @@
 // is a change, too.
 //
 // A daemon that lists the store does not see what was deleted before, so it does not have all
-// changes since an older revision. A daemon that passed on such a list as changes left its peers
-// with endpoints that had ended, for good. [Mirror.BeginList] marks the revision from which on
+// changes since an older revision. If a daemon passed on such a list as changes, its peers would
+// keep ended endpoints forever. [Mirror.BeginList] marks the revision from which on
 // the changes are complete. [Mirror.Changes] returns all objects to peers that ask for changes
 // from before it, and none while a list is uncertain.
 //
@@ -50,9 +50,10 @@
 var ErrListUncertain = errors.New("mirror: list in doubt")
 
 // Apply merges the objects of one list or one watch event and returns those that changed. It
-// merges all of them under one lock: a peer that asked for changes in between would take the
-// highest revision of a part for all there is, and never ask for the rest. A deleted object
-// returns only with a higher version, as an entry does that lapsed while the platform was away.
+// merges all of them under one lock: a peer that asked for changes in between would
+// consider the highest revision of a part complete, and never ask for the rest. A deleted object
+// returns only with a higher version, as with an entry that lapsed while the platform was
+// unavailable.
 func (m *Mirror) Apply(objects []object.Object) (changed []object.Object) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/peer/mirror/mirror_test.go
+++ b/internal/peer/mirror/mirror_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// The entry of a live endpoint lapses while the store is away, and returns with a new version. A
-// daemon that took the deletion for final never used the endpoint again.
+// The entry of a live endpoint lapses while the store is unavailable, and returns with a new
+// version. A daemon that treated the deletion as final never used the endpoint again.
 func TestLapsedEndpointsReturn(t *testing.T) {
 	var m Mirror
 	m.Apply([]object.Object{{Key: "servers/a", Version: 3}})
--- a/internal/peer/retainer/retainer.go
+++ b/internal/peer/retainer/retainer.go
@@ -3,11 +3,11 @@
 // When an entry host is reclaimed in mid-stream, its daemon hands the state of each stream to
 // peers, and the client comes back to any daemon with a resume token that names them. A daemon
 // also keeps the state of a stream whose client connection broke. Neither is stored on the
-// platform, as it is of use only for as long as a client may still come back.
+// platform, as it is only useful while a client may still come back.
 //
 // Entries are kept for a set time and share a budget of bytes. When the budget is spent, new
 // entries are refused, so that the daemon that hands them over can ask the next peer. An old
-// entry is never dropped to make room, as its client has been promised that it is here.
+// entry is never dropped to make room, as its client has been told that it is kept here.
 //
 // # Usage
 //
--- a/internal/peer/roster/message.go
+++ b/internal/peer/roster/message.go
@@ -32,7 +32,7 @@
 
 // ZoneRosters returns the rosters of the given zones, or of all zones if none is given. With
 // relaying set they hold only daemons that this daemon knows to be live, of its own zone only
-// those that it has heard itself, so receivers take them to be live. Without it they hold all
+// those that it has heard itself, so receivers consider them live. Without it they hold all
 // known daemons. own is this daemon's entry. Rosters may be up to 100 ms old.
 func (r *Roster) ZoneRosters(zones []identifier.AvailabilityZone, relaying bool, own *rpc.Member, now time.Time) []*rpc.ZoneRoster {
 	r.mu.Lock()
--- a/internal/peer/roster/roster.go
+++ b/internal/peer/roster/roster.go
@@ -1,7 +1,7 @@
 // Package roster keeps the daemons of the fleet: their zones and addresses, which of them are
 // live, and which are relays.
 //
-// A daemon is live if it has answered or called lately, or if a relay says so. Each relay lists
+// A daemon is live if it has answered or called lately, or if a relay lists it. Each relay lists
 // the daemons that it hears itself to the daemons of its zone and to the other relays. Any other
 // daemon's list only adds addresses to try, so that daemons can't keep an ended one live by
 // repeating it to each other.
@@ -9,7 +9,7 @@
 // In each availability zone the live daemons whose names hash lowest are relays:
 // [minRelaysPerZone] of them, or as many as make [minRelays] in the fleet. Each daemon
 // determines them by itself, and replaces a relay that it can't reach with the next one. A
-// daemon that says it is a relay is used as one.
+// daemon whose digest states that it is a relay is used as one.
 //
 // # Usage
 //
@@ -38,7 +38,7 @@
 	// maxExtraRelays bounds the daemons that are called as relays besides those chosen by rank
 	// because they say that they are: the holder of the duties lease, and one whose view of the
 	// fleet differs. Without a bound, a daemon of a starting fleet would call all others, as
-	// each knows hardly any other and takes itself for a relay.
+	// each knows hardly any other and considers itself a relay.
 	maxExtraRelays = 2
 	// minFollowers is how many relays watch the store for the others, at least one in each zone.
 	// Each call to the store is priced, and each change of an endpoint costs each follower a
@@ -77,7 +77,7 @@
 	Zone    identifier.AvailabilityZone
 	Address string
 	// Observing means that the daemon watches the store and reaches it, Stopping that it takes
-	// no new work, Relaying that it says it is a relay.
+	// no new work, Relaying that it states that it is a relay.
 	Observing, Stopping, Relaying bool
 	// AnsweredAt is when the daemon last answered or called, VouchedAt when a relay last said
 	// that it is live, AddedAt when it became known.
--- a/internal/peer/roster/roster_test.go
+++ b/internal/peer/roster/roster_test.go
@@ -177,7 +177,7 @@
 		for i, r := range relays {
 			for _, d := range r.LiveDaemons(time.Now()) {
 				if d.Zone != "a" {
-					t.Errorf("%s takes %s to be live, which no daemon has heard for %v", names[i], d.Host, time.Since(d.AnsweredAt))
+					t.Errorf("%s considers %s live, which no daemon has heard for %v", names[i], d.Host, time.Since(d.AnsweredAt))
 				}
 			}
 		}
@@ -185,9 +185,9 @@
 }
 
 // A relay's list of a zone changes and changes back before the relay learns that this daemon has
-// the newer one, so it sends a hash that this daemon has dropped. The daemon took the whole zone
-// for dead until the next swap: in a fleet of 195, three or four daemons at a time did not know
-// four of six zones.
+// the newer one, so it sends a hash that this daemon has dropped. The daemon considered the whole
+// zone dead until the next swap: in a fleet of 195, three or four daemons at a time considered
+// four of six zones dead.
 func TestZoneWithDroppedHashStaysLive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		names := ranked(4)
@@ -220,7 +220,7 @@
 }
 
 // Two relays of the zone list the same daemons, and one of them loses sight of another zone and
-// drops its daemons. The receiver took these for dead until the other relay's next digest,
+// drops its daemons. The receiver considered these dead until the other relay's next digest,
 // though that relay had listed them just before.
 func TestRelayWithdrawsOnlyItsOwnEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/peer/rpc/doc.go
+++ b/internal/peer/rpc/doc.go
@@ -10,7 +10,7 @@
 // # Usage
 //
 //	peer := rpc.NewPeerProtobufClient("http://127.0.0.1:7000", client)
-//	news, err := peer.Exchange(ctx, &rpc.News{})
+//	reply, err := peer.Exchange(ctx, &rpc.News{})
 package rpc
 
 //go:generate sh generate.sh
--- a/internal/peer/signer/signer.go
+++ b/internal/peer/signer/signer.go
@@ -174,7 +174,7 @@
 }
 
 // Verify returns a handler that passes on only signed calls that are recent and new. It answers
-// others with status 401, and bodies that are cut or too large with 400.
+// others with status 401, and bodies that are truncated or too large with 400.
 func (s *Signer) Verify(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessage))
--- a/internal/peer/supplier/supplier.go
+++ b/internal/peer/supplier/supplier.go
@@ -6,7 +6,7 @@
 // ([BusyError]).
 //
 // Peers of the previous version do not read packed answers. They get plain ones, and an error
-// where a peer of this version would be told that the daemon is busy.
+// where a peer of this version gets a busy reply.
 //
 // # Usage
 //
@@ -117,7 +117,7 @@
 }
 
 // Error returns a message with the peer's address.
-func (e *BusyError) Error() string { return fmt.Sprintf("%s serves others first", e.Peer) }
+func (e *BusyError) Error() string { return fmt.Sprintf("%s is busy serving other peers", e.Peer) }
 
 // New returns a supplier that has served no peer.
 func New(c Config) *Supplier {
--- a/internal/peer/supplier/supplier_test.go
+++ b/internal/peer/supplier/supplier_test.go
@@ -103,7 +103,7 @@
 }
 
 // The first daemon that has a new configuration can't serve all others at once. Those that it
-// does not serve must learn where else to get it, or they come back to the same link.
+// does not serve must learn where else to get it, or they would retry over the same link.
 func TestBusyPeerNamesHolders(t *testing.T) {
 	open := gate(true)
 	address := startPeer(t, &open, large)
@@ -142,9 +142,9 @@
 	}
 }
 
-// A configuration changes while a peer is busy sending it. The peer named those that it had
-// served with the former one, and daemons that lagged fetched that from one after the other,
-// copies of what they had, while others had the new one. In 3 of 25 runs one daemon of forty was
+// A configuration changes while a peer is busy sending it. The peer named daemons that
+// it had served with the previous one, and lagging daemons fetched that previous one, which they
+// already had, from each of them in turn while others had the new one. In 3 of 25 runs one daemon of forty was
 // behind for more than three seconds.
 func TestHoldersOfAnOlderRevisionAreNotNamed(t *testing.T) {
 	open, m := gate(true), new(mirror.Mirror)
--- a/internal/peer/syncer/rounds.go
+++ b/internal/peer/syncer/rounds.go
@@ -14,11 +14,11 @@
 	// jitterDivisor sets the jitter of pauses: up to a fifth of them.
 	jitterDivisor = 5
 	// startupTime is how long after its start a daemon calls those that it has not heard yet
-	// each startupPause. Until it hears the others it gives out only its own share of each
+	// every startupPause. Until it hears the others it gives out only its own share of each
 	// quota.
 	startupTime  = 4 * time.Second
 	startupPause = 250 * time.Millisecond
-	// slowAfter is how long an address is silent before it is called only each fifth period.
+	// slowAfter is how long an address is silent before it is called only every fifth period.
 	slowAfter       = 5 * time.Second
 	slowEveryRounds = 5
 
@@ -29,8 +29,8 @@
 	// on standby.
 	relayPeriod   = 400 * time.Millisecond
 	standbyPeriod = time.Second
-	// maxUnheardCalls is how many unheard daemons a daemon that hears no relay calls each
-	// startupPause. One that hears a relay calls one unheard daemon each unheardPause.
+	// maxUnheardCalls is how many unheard daemons a daemon that hears no relay calls every
+	// startupPause. One that hears a relay calls one unheard daemon every unheardPause.
 	maxUnheardCalls = 3
 	unheardPause    = 2 * time.Second
 	// relaySilence is how long a relay that should call this one may be silent before this one
@@ -49,7 +49,7 @@
 	round := s.round
 	s.mu.Unlock()
 	starting := now.Sub(s.started) < startupTime
-	// In its first seconds a daemon also calls unknown daemons more often than each period.
+	// In its first seconds a daemon also calls unknown daemons more often than once per period.
 	checksPerPeriod := int(period / startupPause)
 	regular := !starting || round%checksPerPeriod == 1
 	var out []string
@@ -113,7 +113,7 @@
 	relaying := s.c.Relaying()
 	heard := false
 	for i, d := range s.c.Roster.Relays(s.c.Zone, now) {
-		// A daemon that says it is no relay has found others that rank before it.
+		// A daemon that reports that it is not a relay has found others that rank before it.
 		heard = heard || d.Relaying && now.Sub(d.AnsweredAt) < standbyPeriod+relayPeriod
 		switch {
 		case relaying && d.Relaying && d.Host < s.c.Host && now.Sub(d.AnsweredAt) < relaySilence:
@@ -151,8 +151,8 @@
 }
 
 // addUnheard adds some daemons that were never heard. If this daemon hears no relay, it also
-// adds some that seem dead, those of its own zone first: this is how it rejoins the fleet after
-// a power loss or a partition.
+// adds some that seem dead, those of its own zone first, so that it rejoins the fleet after a
+// power loss or a partition.
 func (s *Syncer) addUnheard(p *planner, heard bool) {
 	n, pause := 1, unheardPause
 	if !heard {
--- a/internal/peer/syncer/syncer.go
+++ b/internal/peer/syncer/syncer.go
@@ -1,20 +1,20 @@
 // Package syncer exchanges digests with the other daemons of the fleet.
 //
-// In a small fleet each pair of daemons swaps digests in one call each [period], made by the one
-// with the lower host name. So a digest is at most a period old at every other daemon, and
-// outlives the daemon there.
+// In a small fleet each pair of daemons swaps digests in one call every [period], made by the one
+// with the lower host name. So a digest is at most a period old at every other daemon, and is
+// still there after its sender has ended.
 //
-// In a large fleet that would be 19,000 calls a second among 195 daemons, or digests that are
-// 13 s old. There a daemon swaps with the relays of its zone, with the first one each
+// In a large fleet that would be 19,000 calls per second among 195 daemons, or digests that are
+// 13 s old. There a daemon swaps with the relays of its zone, with the first one every
 // [relayPeriod], and relays swap with each other; see packages roster and aggregator. A daemon
-// that is not a relay makes about four calls a second whatever the size of the fleet. A relay
-// takes part in about four a second for each daemon of its zone and each other relay.
+// that is not a relay makes about four calls per second, regardless of the size of the fleet. A
+// relay takes part in about four per second for each daemon of its zone and each other relay.
 //
 // Addresses come from the settings' seeds, from the store and from the digests.
 //
 // A change of the configuration or of an endpoint does not wait for the next round:
 // [Syncer.TriggerNotes] sends a note of a few dozen bytes to all peers of a small fleet, or to
-// the relays and the daemons of the own zone. Those that lack the change then fetch it.
+// the relays and the daemons of its own zone. Those that are missing the change then fetch it.
 //
 // # Usage
 //
@@ -122,9 +122,9 @@
 	return &Syncer{c: c, peers: make(map[string]*peerState), notesRequested: make(chan bool, 1), started: time.Now()}
 }
 
-// TriggerNotes makes Serve send notes soon, as there is a change. With all set they go to all
+// TriggerNotes makes Serve send notes about a change soon. With all set they go to all
 // receivers, otherwise to some of them: a daemon that learned of the change from a peer forwards
-// it so, since the first one may not know all daemons, and a note may be lost.
+// it that way, since the first one may not know all daemons, and a note may be lost.
 func (s *Syncer) TriggerNotes(all bool) {
 	select {
 	case s.notesRequested <- all:
--- a/internal/peer/throttler/throttler.go
+++ b/internal/peer/throttler/throttler.go
@@ -1,7 +1,7 @@
 // Package throttler bounds the bytes of large answers that a daemon sends at a time.
 //
 // When a large configuration changes, dozens of daemons ask the first one that has it. If all
-// were served at a time, each would get a fiftieth of the link, none would be done within
+// were served at the same time, each would get a fiftieth of the link, none would be done within
 // seconds, and the answers to clients would wait behind them. If only as many are served as the
 // link carries in [burstTime], these are done soon and serve others in turn, so the daemons that
 // have it double with each step.
--- a/internal/platform/registrar/registrar.go
+++ b/internal/platform/registrar/registrar.go
@@ -25,7 +25,7 @@
 	"brasschute/internal/core/identifier"
 )
 
-// maxEndpoints bounds the endpoints remembered, enough for hours of a fleet that starts an
+// maxEndpoints bounds the endpoints kept, enough for hours of a fleet that starts an
 // endpoint every few seconds. Those with the oldest records are evicted.
 const maxEndpoints = 8192
 
@@ -48,8 +48,8 @@
 	onlyOne bool
 }
 
-// Registrar numbers the incarnations of endpoints. The zero value knows none and is ready
-// for use. It is safe for concurrent use.
+// Registrar numbers the incarnations of endpoints. The zero value is empty and ready for
+// use. It is safe for concurrent use.
 type Registrar struct {
 	mu      sync.Mutex
 	last    identifier.Incarnation
--- a/internal/platform/registrar/registrar_test.go
+++ b/internal/platform/registrar/registrar_test.go
@@ -20,7 +20,7 @@
 }
 
 // An endpoint restarts under its id, with its clock a minute behind. Its start time is
-// earlier than that of the previous incarnation, which must not be taken for the newer one.
+// earlier than that of the previous incarnation, which must not be mistaken for the newer one.
 func TestRevisionOrdersIncarnations(t *testing.T) {
 	var r Registrar
 	first := mustRegister(t, &r, 100_000, 5)
--- a/internal/platform/watcher/watcher.go
+++ b/internal/platform/watcher/watcher.go
@@ -13,7 +13,7 @@
 // those that follow it.
 //
 // A read may be stale: the platform may answer a list from a replica that is behind
-// what this daemon has already seen. The watcher remembers the version of each key and
+// what this daemon has already seen. The watcher keeps the version of each key and
 // drops older ones, so that an object never goes back to an earlier version in the sink. A
 // list that is behind the last revision seen does not remove keys.
 //
@@ -60,8 +60,8 @@
 }
 
 // Sink receives each version of an object once. The objects of one list or one watch
-// arrive in one call, together with the deletions: a partial list taken for the whole
-// would be passed on to peers and used for routing.
+// arrive in one call, together with the deletions: a partial list would
+// otherwise be passed on to peers as complete and used for routing.
 type Sink interface {
 	Apply([]object.Object)
 }
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -7,7 +7,7 @@
 //	├── watcher      watches the platform
 //	├── gossiper     gossips with peers
 //	├── poller       polls the load of endpoints
-//	├── migrator     saves the caches of leaving engines
+//	├── migrator     saves the prefix caches of leaving engines
 //	├── registrar    registers this daemon on the platform
 //	├── gauges       updates metrics
 //	├── peers        listener for peers
--- a/internal/role/entry/registrar.go
+++ b/internal/role/entry/registrar.go
@@ -67,8 +67,8 @@
 	return err
 }
 
-// deregister tells peers and the platform that the daemon is gone. Neither is needed for safety;
-// both save others a timeout.
+// deregister announces the shutdown to peers and removes the daemon's record from the platform.
+// Neither is needed for safety; both save others a timeout.
 func (e *Entry) deregister(ctx context.Context) {
 	e.members.Leave()
 	e.gossiper.AnnounceShutdown(ctx)
--- a/internal/role/gateway/admission.go
+++ b/internal/role/gateway/admission.go
@@ -10,7 +10,7 @@
 	"brasschute/internal/serve/request"
 )
 
-// Admit charges a request to its organisation's quota and returns the verdict. It also credits
+// Admit charges a request to its organisation's quota and returns the decision. It also credits
 // the retry budget of the request's service.
 func (g *Gateway) Admit(q *request.Request) quotalimiter.Decision {
 	g.retryBudget(q.Service).Earn()
@@ -98,7 +98,7 @@
 }
 
 // fleetSize estimates the number of daemons, including those not heard from. A process that
-// starts together with many others knows no peer yet, and would claim all quotas for itself.
+// starts together with many others knows no peer yet, and would otherwise claim all quotas for itself.
 func (g *Gateway) fleetSize() int {
 	d := g.c.Deployment
 	return max(len(d.Zones), len(d.Seeds)+1, int(g.reportedFleetSize.Load()))
--- a/internal/role/gateway/backoffs_test.go
+++ b/internal/role/gateway/backoffs_test.go
@@ -20,7 +20,7 @@
 func (s *headerRecorder) maxArrivalsInBackoff() (highest int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k, list := range s.toldAt {
+	for k, list := range s.sentAt {
 		for _, at := range list {
 			n := 0
 			for _, arrival := range s.arrivals[k] {
@@ -45,8 +45,8 @@
 	}
 }
 
-// Engines refuse requests and ask daemons for a backoff. When that was forgotten with the answer,
-// the next request went to the same engine again.
+// Engines refuse requests and ask daemons for a backoff. When a daemon did not keep this beyond
+// the one answer, the next request went to the same engine again.
 func TestEngineThatAsksForRestGetsIt(t *testing.T) {
 	const from, until = 2 * time.Second, 9 * time.Second
 	for _, size := range headerFleets {
@@ -56,8 +56,8 @@
 				return place < 3 && since > from && since < until
 			}
 			replies := s.f.sendSteady(size.perSecond, 12*time.Second)
-			if most := s.maxArrivalsInBackoff(); most > allowedInBackoff || len(s.toldAt) == 0 {
-				t.Errorf("%d daemons: %d requests came from one daemon within a backoff of %v (%d engine-daemon pairs)", size.daemons, most, backoff, len(s.toldAt))
+			if most := s.maxArrivalsInBackoff(); most > allowedInBackoff || len(s.sentAt) == 0 {
+				t.Errorf("%d daemons: %d requests came from one daemon within a backoff of %v (%d engine-daemon pairs)", size.daemons, most, backoff, len(s.sentAt))
 			}
 			t.Logf("%d daemons: %d of %d requests failed", size.daemons, countFailed(replies), len(replies))
 			if n := countFailed(replies); n > len(replies)/50 {
@@ -67,8 +67,8 @@
 	}
 }
 
-// All engines ask for a backoff: clients must be told at once when to come back, and must be
-// served when it is over.
+// All engines ask for a backoff: clients must be refused at once with the time after which to
+// retry, and must be served when it is over.
 func TestAllEnginesRest(t *testing.T) {
 	const from, until = 2 * time.Second, 5 * time.Second
 	inHeaderFleet(t, 8, retryAfterHeaders(engineCount, from, until), func(s *headerRecorder, e *engineFleet) {
--- a/internal/role/gateway/departures_test.go
+++ b/internal/role/gateway/departures_test.go
@@ -25,7 +25,7 @@
 		return nil
 	}
 	inHeaderFleet(t, 8, first, func(s *headerRecorder, _ *engineFleet) {
-		for len(s.firstToldAt) == 0 {
+		for len(s.firstSentAt) == 0 {
 			s.f.ask(0, streamPath, s.f.randomName())
 		}
 		time.Sleep(time.Second)
--- a/internal/role/gateway/digests.go
+++ b/internal/role/gateway/digests.go
@@ -70,7 +70,7 @@
 	u, changed := g.aggregator.Merge(d, role == roleRelay, now)
 	if n := g.aggregator.TakeRejected(); n > 0 {
 		g.scope.Counter("sums_refused").Inc(int64(n))
-		if logDue(&g.refusedSumsLoggedAt) {
+		if logDue(&g.rejectedSumsLoggedAt) {
 			g.c.Logger.Warn("parts of a peer's sums rejected", "peer", d.GetHost(), "items", n)
 		}
 	}
--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -240,7 +240,7 @@
 // A configuration grows by 1,400 routes to a megabyte. All sixty daemons learn its number
 // within milliseconds, and all that do not watch the store fetch it from the first daemon that
 // has it, whose link carries one copy in 0.8 s. If each transfer is abandoned after a second and
-// restarted at another daemon, the links stay full of bytes that nobody uses, callers' answers
+// restarted at another daemon, the links stay full of bytes that are discarded, callers' answers
 // queue behind them, and callers of the new routes get 404 ten seconds later. A fleet logged 60
 // "newer objects not fetched … context deadline exceeded" in the first second, all from one
 // peer, which sent 22 MB in it; 35 of 61 daemons never had that configuration in force.
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -12,7 +12,7 @@
 //	├── readiness                   listener for the load balancer
 //	└── metrics                     listener for metrics
 //
-// On a stop signal readiness fails at once and for good. New connections are still served for
+// On a stop signal readiness fails at once and permanently. New connections are still served for
 // [balancerLag], because the balancer may still send some; answers close their connections.
 // Then the listener closes, and requests already read are answered within the grace period.
 //
@@ -170,9 +170,9 @@
 	// daemon's isolation was, both in Unix nanoseconds.
 	overdraftLoggedAt atomic.Int64
 	isolatedLoggedAt  atomic.Int64
-	// refusedSumsLoggedAt is when rejected parts of a peer's sums were last logged, in Unix
+	// rejectedSumsLoggedAt is when rejected parts of a peer's sums were last logged, in Unix
 	// nanoseconds.
-	refusedSumsLoggedAt atomic.Int64
+	rejectedSumsLoggedAt atomic.Int64
 	// estimator estimates the speed of engines.
 	estimator   estimator.Estimator
 	demandMeter demandmeter.Meter
--- a/internal/role/gateway/gossip_test.go
+++ b/internal/role/gateway/gossip_test.go
@@ -13,7 +13,7 @@
 // idleTime is how long the cost of an idle fleet is measured.
 const idleTime = 10 * time.Second
 
-// In a fleet of 195 daemons of which all pairs exchanged digests, updates were 6 s old in the own
+// In a fleet of 195 daemons of which all pairs exchanged digests, updates were 6 s old in their own
 // zone and 13 s elsewhere: usage was reported after its due time, quotas were divided by stale
 // demands, and processes that started together called each other 19,000 times a second.
 func TestNewsOfALargeFleetIsSoonKnown(t *testing.T) {
@@ -119,7 +119,7 @@
 
 // A fleet is upgraded daemon by daemon. A daemon of the previous version exchanges digests with
 // all others and does not understand sums. Without the charges of daemons in other zones it
-// would take their clients for idle and give out their share of the quotas.
+// would consider their clients idle and give out their share of the quotas.
 func TestPreviousVersionReceivesCharges(t *testing.T) {
 	inFleetOf(t, fleetShape{40, 4}, func(f *testFleet) {
 		f.settle()
--- a/internal/role/gateway/headers_test.go
+++ b/internal/role/gateway/headers_test.go
@@ -16,9 +16,9 @@
 	begun time.Time
 
 	mu sync.Mutex
-	// firstToldAt is when an engine first sent a header to each daemon, toldAt each time it did.
-	firstToldAt map[engineDaemon]time.Time
-	toldAt      map[engineDaemon][]time.Time
+	// firstSentAt is when an engine first sent a header to each daemon, sentAt each time it did.
+	firstSentAt map[engineDaemon]time.Time
+	sentAt      map[engineDaemon][]time.Time
 	arrivals    map[engineDaemon][]time.Time
 }
 
@@ -31,7 +31,7 @@
 	t.Helper()
 	inEngineFleet(t, daemons, func(string) bool { return false }, func(f *testFleet, e *engineFleet) {
 		s := &headerRecorder{
-			f: f, begun: time.Now(), firstToldAt: make(map[engineDaemon]time.Time), toldAt: make(map[engineDaemon][]time.Time),
+			f: f, begun: time.Now(), firstSentAt: make(map[engineDaemon]time.Time), sentAt: make(map[engineDaemon][]time.Time),
 			arrivals: make(map[engineDaemon][]time.Time),
 		}
 		e.answerHeaders = func(place int, id string, r *http.Request) http.Header {
@@ -50,9 +50,9 @@
 	if headers == nil {
 		return nil
 	}
-	s.toldAt[k] = append(s.toldAt[k], now)
-	if s.firstToldAt[k].IsZero() {
-		s.firstToldAt[k] = now
+	s.sentAt[k] = append(s.sentAt[k], now)
+	if s.firstSentAt[k].IsZero() {
+		s.firstSentAt[k] = now
 	}
 	return headers
 }
@@ -62,7 +62,7 @@
 func (s *headerRecorder) arrivalsAfter(d time.Duration) (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k, at := range s.firstToldAt {
+	for k, at := range s.firstSentAt {
 		for _, arrival := range s.arrivals[k] {
 			if arrival.Sub(at) > d {
 				n++
@@ -78,11 +78,11 @@
 	perSecond float64
 }{{8, 45}, {83, 160}, {195, 300}}
 
-// drainTime is how long a daemon may still send to an engine that told it that it is leaving.
+// drainTime is how long a daemon may still send to an engine that has reported to it that it is leaving.
 const drainTime = 2 * time.Second
 
-// The store is unavailable, and engines say in their answers that they are leaving. When that
-// was forgotten with the answer, requests went to them until the store was back.
+// The store is unavailable, and engines say in their answers that they are leaving. When a
+// daemon did not keep this beyond the one answer, requests went to them until the store was back.
 func TestEngineThatSaysSoIsLeftAlone(t *testing.T) {
 	half := func(place int, since time.Duration) http.Header {
 		if place%2 == 0 && since > 3*time.Second {
@@ -94,8 +94,8 @@
 		inHeaderFleet(t, size.daemons, half, func(s *headerRecorder, _ *engineFleet) {
 			s.f.store.SetFault(func(hosting.Call) hosting.Fault { return hosting.Unavailable })
 			replies := s.f.sendSteady(size.perSecond, 12*time.Second)
-			if n := s.arrivalsAfter(drainTime); n > 0 || len(s.firstToldAt) == 0 {
-				t.Errorf("%d daemons: %d requests reached engines later than %v after they had said that they leave (%d engine-daemon pairs)", size.daemons, n, drainTime, len(s.firstToldAt))
+			if n := s.arrivalsAfter(drainTime); n > 0 || len(s.firstSentAt) == 0 {
+				t.Errorf("%d daemons: %d requests reached engines later than %v after they had said that they leave (%d engine-daemon pairs)", size.daemons, n, drainTime, len(s.firstSentAt))
 			}
 			if n := countFailed(replies); n > 0 {
 				t.Errorf("%d daemons: %d of %d requests failed", size.daemons, n, len(replies))
--- a/internal/role/gateway/isolation_test.go
+++ b/internal/role/gateway/isolation_test.go
@@ -149,7 +149,7 @@
 			t.Errorf("%d daemons do not know after the isolation", n)
 		}
 		// The isolated daemons take over the quotas' levels instead of the totals. Charges made
-		// while nobody relayed are estimated from earlier rates.
+		// while no daemon relayed are estimated from earlier rates.
 		const maxKnown = 1500
 		for _, i := range remaining {
 			g := f.daemons[i]
--- a/internal/role/gateway/limits_test.go
+++ b/internal/role/gateway/limits_test.go
@@ -27,10 +27,10 @@
 
 	mu    sync.Mutex
 	begun time.Time
-	// limitNamedAt is when an engine first sent its limit, limitToldAt when it first sent it to
+	// limitSentAt is when an engine first sent its limit, limitSentToAt when it first sent it to
 	// each daemon.
-	limitNamedAt map[string]time.Time
-	limitToldAt  map[string]map[string]time.Time
+	limitSentAt   map[string]time.Time
+	limitSentToAt map[string]map[string]time.Time
 	// arrivals are the requests by engine. countedArrivals are those from daemons that the engine
 	// had informed limitLead before.
 	arrivals        map[string][]time.Time
@@ -42,7 +42,7 @@
 	t.Helper()
 	inEngineFleet(t, daemons, func(string) bool { return false }, func(f *testFleet, e *engineFleet) {
 		l := &limitedEngines{
-			f: f, limit: limit, begun: time.Now(), limitNamedAt: make(map[string]time.Time), limitToldAt: make(map[string]map[string]time.Time),
+			f: f, limit: limit, begun: time.Now(), limitSentAt: make(map[string]time.Time), limitSentToAt: make(map[string]map[string]time.Time),
 			arrivals: make(map[string][]time.Time), countedArrivals: make(map[string][]time.Time),
 		}
 		e.answerHeaders = l.answerHeaders
@@ -56,18 +56,18 @@
 	defer l.mu.Unlock()
 	now, daemon := time.Now(), r.Header.Get(askedHeader)
 	l.arrivals[id] = append(l.arrivals[id], now)
-	if at, informed := l.limitToldAt[id][daemon]; informed && now.Sub(at) >= limitLead {
+	if at, informed := l.limitSentToAt[id][daemon]; informed && now.Sub(at) >= limitLead {
 		l.countedArrivals[id] = append(l.countedArrivals[id], now)
 	}
 	limit := l.limit(place, now.Sub(l.begun))
 	if limit == 0 {
 		return nil
 	}
-	if l.limitNamedAt[id].IsZero() {
-		l.limitNamedAt[id], l.limitToldAt[id] = now, make(map[string]time.Time)
+	if l.limitSentAt[id].IsZero() {
+		l.limitSentAt[id], l.limitSentToAt[id] = now, make(map[string]time.Time)
 	}
-	if l.limitToldAt[id][daemon].IsZero() {
-		l.limitToldAt[id][daemon] = now
+	if l.limitSentToAt[id][daemon].IsZero() {
+		l.limitSentToAt[id][daemon] = now
 	}
 	return http.Header{"Server-Limit": {strconv.FormatFloat(limit, 'f', -1, 64)}}
 }
@@ -78,10 +78,10 @@
 	first := 0
 	list := l.countedArrivals[id]
 	for i, at := range list {
-		for first < i && at.Sub(list[first]) >= limitWindow || list[first].Sub(l.limitNamedAt[id]) < propagationTime && first < i {
+		for first < i && at.Sub(list[first]) >= limitWindow || list[first].Sub(l.limitSentAt[id]) < propagationTime && first < i {
 			first++
 		}
-		if list[first].Sub(l.limitNamedAt[id]) >= propagationTime {
+		if list[first].Sub(l.limitSentAt[id]) >= propagationTime {
 			highest = max(highest, i-first+1)
 		}
 	}
@@ -101,10 +101,10 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	allowed := limitFactor*limit*limitWindow.Seconds() + limitSlack
-	if len(l.limitNamedAt) == 0 {
+	if len(l.limitSentAt) == 0 {
 		l.f.t.Error("no engine sent a limit")
 	}
-	for id := range l.limitNamedAt {
+	for id := range l.limitSentAt {
 		if most := l.busiestWindow(id); float64(most) > allowed {
 			l.f.t.Errorf("%s has a limit of %v requests a second and got %d in %v from informed daemons; allowed %.0f", id, limit, most, limitWindow, allowed)
 		}
@@ -116,14 +116,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	from := time.Now().Add(-last)
-	for id := range l.limitNamedAt {
+	for id := range l.limitSentAt {
 		n := 0
 		for _, at := range l.arrivals[id] {
 			if at.After(from) {
 				n++
 			}
 		}
-		mean += float64(n) / last.Seconds() / limit / float64(len(l.limitNamedAt))
+		mean += float64(n) / last.Seconds() / limit / float64(len(l.limitSentAt))
 	}
 	return mean
 }
@@ -144,8 +144,8 @@
 	}
 }
 
-// An engine sends its limit in its answers. If the limit is forgotten with each answer, every
-// daemon goes on sending as before.
+// An engine sends its limit in its answers. If a daemon does not keep the limit beyond the one
+// answer, it continues to send as before.
 func TestLimitOfAnEngineHoldsForAllDaemonsTogether(t *testing.T) {
 	const limit = 1
 	two := func(place int, since time.Duration) float64 {
@@ -216,7 +216,8 @@
 	})
 }
 
-// A daemon is isolated and comes back, and another one starts, while two engines have limits.
+// A daemon is isolated and reconnects, and another one starts, while two engines have limits. The
+// limits must hold for all daemons together.
 func TestLimitHoldsThroughCutsAndStarts(t *testing.T) {
 	const limit = 1
 	two := func(place int, _ time.Duration) float64 {
@@ -236,7 +237,7 @@
 	})
 }
 
-// Engines send values that are not limits. They must be ignored and harm nobody.
+// Engines send values that are not limits. They must be ignored, and all requests served.
 func TestWordsThatAreNoLimits(t *testing.T) {
 	values := []string{"NaN", "-1", "Inf", "-Inf", "", "soon", "1e999", "0x", "Wed, 21 Oct 2026 07:28:00 GMT"}
 	inEngineFleet(t, 8, func(string) bool { return false }, func(f *testFleet, e *engineFleet) {
--- a/internal/role/gateway/load_test.go
+++ b/internal/role/gateway/load_test.go
@@ -42,9 +42,9 @@
 	// subjects is the number of subjects whose requests share prompt parts, for each class.
 	subjects       = 12
 	tokensPerEvent = 3
-	// clientPatience is how long a client waits for the next event, in multiples of the
+	// clientTimeoutFactor is how long a client waits for the next event, in multiples of the
 	// objective.
-	clientPatience = 4
+	clientTimeoutFactor = 4
 	// maxRefusalFraction is the fraction of the objective within which a request that is not
 	// sent to an engine must be refused.
 	maxRefusalFraction = 0.125
@@ -187,7 +187,7 @@
 func (m *batchFleet) attempt(o *outcome, daemon int, parts, body string) (pause time.Duration, again bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	silent := time.AfterFunc(clientPatience*o.class.objective, cancel)
+	silent := time.AfterFunc(clientTimeoutFactor*o.class.objective, cancel)
 	defer silent.Stop()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost,
 		"http://"+m.f.daemons[daemon].c.Deployment.Callers.String()+"/"+o.class.name+"/", strings.NewReader(body))
@@ -230,7 +230,7 @@
 		if o.firstEvent == 0 && line != "" {
 			o.firstEvent = time.Since(o.sentAt)
 		}
-		silent.Reset(clientPatience * o.class.objective)
+		silent.Reset(clientTimeoutFactor * o.class.objective)
 		events = (events + line)[max(0, len(events)+len(line)-len(last)):]
 		if err != nil {
 			o.complete = err == io.EOF && events == last
--- a/internal/role/gateway/objects_test.go
+++ b/internal/role/gateway/objects_test.go
@@ -47,8 +47,8 @@
 }
 
 // An engine drains, ends, and restarts under its id. When "leaving" was kept by id, the new
-// process never got a request, and a peer that had not heard of the restart told all others
-// again that the engine was leaving.
+// process never got a request, and a peer that did not know of the restart yet reported
+// to all others again that the engine was leaving.
 func TestEndpointThatStartsAgainServesAgain(t *testing.T) {
 	inFleet(t, 20, func(f *testFleet) {
 		f.writeEndpoint("i-2", "ready", 1000)
@@ -140,13 +140,13 @@
 // effect, and a good record that follows must take effect at once. A whole list was rejected
 // because of one corrupt record, and the endpoint of a corrupt record stayed in use as before.
 func TestSpoiltRecordsTakeNothingWithThem(t *testing.T) {
-	for name, spoilt := range map[string]any{
+	for name, corrupt := range map[string]any{
 		"a text": "gone", "null": nil, "a list": []int{1}, "fields missing": map[string]any{"Service": "app"},
-		"another type":      map[string]any{"Service": 5, "Address": "10.9.0.1:80", "Zone": "z", "State": "ready"},
-		"an unnamed state":  map[string]any{"Service": "app", "Address": "10.9.0.1:80", "Zone": "z", "State": "resting"},
-		"no address":        map[string]any{"Service": "app", "Address": "nowhere", "Zone": "z", "State": "ready"},
-		"no birth any more": map[string]any{"Service": "app", "Address": "10.9.0.1:80", "Zone": "z", "State": "ready"},
-		"a long value":      map[string]any{"Service": make([]byte, 1<<19)},
+		"another type":     map[string]any{"Service": 5, "Address": "10.9.0.1:80", "Zone": "z", "State": "ready"},
+		"an unnamed state": map[string]any{"Service": "app", "Address": "10.9.0.1:80", "Zone": "z", "State": "resting"},
+		"no address":       map[string]any{"Service": "app", "Address": "nowhere", "Zone": "z", "State": "ready"},
+		"no start time":    map[string]any{"Service": "app", "Address": "10.9.0.1:80", "Zone": "z", "State": "ready"},
+		"a long value":     map[string]any{"Service": make([]byte, 1<<19)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			inFleet(t, 3, func(f *testFleet) {
@@ -154,13 +154,13 @@
 					f.writeEndpoint(fmt.Sprintf("i-%d", i), "ready", 1000)
 				}
 				f.settle()
-				f.store.Write(platform.EndpointKind, "i-2", spoilt)
+				f.store.Write(platform.EndpointKind, "i-2", corrupt)
 				f.writeEndpoint("i-3", "draining", 1000)
 				time.Sleep(time.Second)
 				f.expectView("i-2", "unknown")
 				f.expectView("i-1", "born 1000, leaving false")
 				f.expectView("i-3", "born 1000, leaving true")
-				if name != "no birth any more" { // a new process can't know that there was one
+				if name != "no start time" { // a new process can't know that there was one
 					f.start(1)
 				}
 				time.Sleep(5 * time.Second)
@@ -213,7 +213,7 @@
 }
 
 // The store and a peer deliver one endpoint's record at the same moment, and the older record is
-// applied last. It was taken for a corrupt one, and the endpoint got no requests until its
+// applied last. It was mistaken for a corrupt one, and the endpoint got no requests until its
 // record changed again, which may be never.
 func TestStaleRecordDoesNotRemoveEndpoint(t *testing.T) {
 	inFleet(t, 1, func(f *testFleet) {
--- a/internal/role/gateway/rollouts.go
+++ b/internal/role/gateway/rollouts.go
@@ -178,7 +178,7 @@
 }
 
 // runRollouts advances the ordered roll-outs while the lease is held. It is a service of its
-// own so that a slow store does not delay the verdict on a version.
+// own so that a slow store does not delay the decision about a version.
 func (u *duties) runRollouts(ctx context.Context) error {
 	return waiter.Every(ctx, rolloutInterval, func(ctx context.Context) {
 		fencing, held := u.g.lease.Held()
--- a/internal/role/gateway/rollouts_test.go
+++ b/internal/role/gateway/rollouts_test.go
@@ -158,7 +158,7 @@
 	}
 }
 
-// delistEngines removes the records of a version's engines, which go on for a while.
+// delistEngines removes the records of a version's engines, which continue to run for a while.
 func (v *versionFleet) delistEngines(version string) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -366,7 +366,7 @@
 }
 
 // The lease holder is isolated in the middle of the trial of a failing version, and with it
-// everything known about the answers. Nobody grants the roll-out any more, so no further request
+// everything known about the answers. No daemon grants the roll-out any more, so no further request
 // may go to the version until the next holder has received the tallies and reverts it.
 func TestVersionWithoutAHolderIsNotTried(t *testing.T) {
 	for _, shape := range rolloutShapes()[:min(2, len(rolloutShapes()))] {
@@ -382,7 +382,7 @@
 }
 
 // The store refuses all daemons from the moment at which a version proves to be bad. The status
-// cannot be stored, but no daemon may send the version anything any more.
+// cannot be stored, but no daemon may send further requests to the version.
 func TestVersionIsLeftWhileTheStoreIsAway(t *testing.T) {
 	inVersionFleet(t, 8, func(v *versionFleet) {
 		v.checkReverted(200, badVersions[0].answers, func() {
@@ -439,9 +439,10 @@
 	})
 }
 
-// A version fails while its fleet has other faults: the daemons of an availability zone are isolated; all
-// daemons that know of the order are lost in the middle and replaced by others that do not; the
-// store answers nobody from before the order's first state on.
+// A version fails while its fleet has another fault: the daemons of an availability zone are
+// isolated; all daemons that know of the order are lost in the middle of the roll-out and
+// replaced by others that do not; the store answers no daemon from before the order's first state
+// on.
 func TestBadVersionBesideOtherTroubles(t *testing.T) {
 	for _, trouble := range []struct {
 		name    string
