--- a/internal/config/deployment/deployment.go
+++ b/internal/config/deployment/deployment.go
@@ -45,7 +45,7 @@
 	// UsageDue is the time after the end of a window by which its report is due.
 	UsageDue time.Duration
 	// CanaryShare of all requests for a service, plus CanarySlack requests, may go to a
-	// target version that turns out to be bad, and none later than RollbackTime after that.
+	// target version that turns out to be bad, and none later than RevertTime after that.
 	CanaryShare float64
 	CanarySlack float64
 	RevertTime  time.Duration
--- a/internal/config/rollout/rollout.go
+++ b/internal/config/rollout/rollout.go
@@ -3,13 +3,13 @@
 //
 // An order passes through these phases:
 //
-//	Ordered → Trying → Moving → Switching → Complete
+//	Ordered → Canary → Migrating → Switching → Complete
 //	              ↘ Reverted (from each but Complete)
 //
-// In Trying, a small share of the requests goes to endpoints of the target version. In
-// Moving, requests that would outlast the old endpoints go there as well. In Switching, all
-// new requests do, while the old endpoints finish those they have. Complete and Reverted are
-// final for an order; package promoter decides them.
+// In Canary (logged as "trying"), a small share of the requests goes to endpoints of the target
+// version. In Migrating (logged as "moving"), requests that would outlast the old endpoints go
+// there as well. In Switching, all new requests do, while the old endpoints finish those they
+// have. Complete and Reverted are final for an order; package promoter decides them.
 //
 // # Usage
 //
@@ -60,7 +60,7 @@
 	// compared, never interpreted.
 	Created string
 	// Stored is the phase according to the store: Ordered if the store has no state of this
-	// order, Trying if the order is under way, else Complete or Reverted.
+	// order, Canary if the order is under way, else Complete or Reverted.
 	Stored Phase
 	// Phase is the furthest phase known, from the store or from the lease holder.
 	Phase Phase
--- a/internal/measure/collector/collector.go
+++ b/internal/measure/collector/collector.go
@@ -113,7 +113,7 @@
 	TokenGapP95 time.Duration
 	// CostPerThousandInTarget is the cost of all requests for each thousand in target.
 	CostPerThousandInTarget float64
-	// RecomputedTokens is the sum of recomputed tokens, RecomputedPerPrompt their
+	// RecomputedTokens is the sum of recomputed tokens, RecomputedShare their
 	// share of all prompt tokens, from 0 to 1.
 	RecomputedTokens identifier.Tokens
 	RecomputedShare  float64
--- a/internal/peer/gatherer/gatherer.go
+++ b/internal/peer/gatherer/gatherer.go
@@ -8,7 +8,7 @@
 // # Usage
 //
 //	g.Merge(digest, time.Now())
-//	for _, e := range g.Entries(time.Now()) { ... }
+//	for _, e := range g.Digests(time.Now()) { ... }
 package gatherer
 
 import (
--- a/internal/peer/membertracker/membertracker.go
+++ b/internal/peer/membertracker/membertracker.go
@@ -38,9 +38,9 @@
 )
 
 const (
-	// maxNewsMembers and maxNewsLeaving bound a message that is not full.
-	maxNewsMembers = 6
-	maxNewsLeaving = 16
+	// maxMessageMembers and maxMessageLeaving bound a message that is not full.
+	maxMessageMembers = 6
+	maxMessageLeaving = 16
 	// extraSends is added to the logarithm of the number of members in sendLimit.
 	extraSends = 2
 	// maxMembers and maxLeaving bound the records taken over from peers.
@@ -284,7 +284,7 @@
 	if full {
 		return out
 	}
-	return out[:min(len(out), maxNewsMembers)]
+	return out[:min(len(out), maxMessageMembers)]
 }
 
 // leavingLeastSent returns the leaving hosts that were sent least often.
@@ -301,7 +301,7 @@
 	if full {
 		return out
 	}
-	return out[:min(len(out), maxNewsLeaving)]
+	return out[:min(len(out), maxMessageLeaving)]
 }
 
 // digest returns a sum over all members that are not dead, this daemon included. It does not
--- a/internal/peer/membertracker/membertracker_test.go
+++ b/internal/peer/membertracker/membertracker_test.go
@@ -115,7 +115,7 @@
 		tracker.MarkLeaving(identifier.Host(fmt.Sprint(i)), 1, now, now)
 	}
 	tracker.Merge(&rpc.News{Full: true}, now)
-	if n := tracker.NextMessage(); len(n.Members) > maxNewsMembers || len(n.Leaving) > maxNewsLeaving {
+	if n := tracker.NextMessage(); len(n.Members) > maxMessageMembers || len(n.Leaving) > maxMessageLeaving {
 		t.Fatalf("%d members, %d leaving", len(n.Members), len(n.Leaving))
 	}
 	for range 300 {
--- a/internal/peer/syncer/rounds.go
+++ b/internal/peer/syncer/rounds.go
@@ -161,18 +161,18 @@
 	if !p.claimIfDue(unheardKey, pause) {
 		return
 	}
-	var list, near []string
+	var list, sameZone []string
 	for _, d := range s.c.Roster.All(p.now) {
 		silent := !heard && p.now.Sub(d.LastHeard()) >= roster.LivenessTimeout
 		switch {
 		case silent && d.Zone == s.c.Zone:
-			near = append(near, d.Address)
+			sameZone = append(sameZone, d.Address)
 		case silent || d.Host == "":
 			list = append(list, d.Address)
 		}
 	}
-	if len(near) > 0 {
-		list = near
+	if len(sameZone) > 0 {
+		list = sameZone
 	}
 	rand.Shuffle(len(list), func(i, k int) { list[i], list[k] = list[k], list[i] })
 	for _, address := range list[:min(n, len(list))] {
--- a/internal/role/entry/entry.go
+++ b/internal/role/entry/entry.go
@@ -202,7 +202,7 @@
 		Forwarder: forwarder.New(forwarder.Config{
 			Registry: e.registry, Caller: endpoints, Budgeter: budget, Zone: s.AvailabilityZone, Quarantine: e.quarantine,
 		}),
-		Transferrer: transferrer.New(transferrer.Config{Ledger: e.members, Retainer: retained, Peer: e.gossiper.Peer, Store: e.platform}),
+		Transferrer: transferrer.New(transferrer.Config{Members: e.members, Retainer: retained, Peer: e.gossiper.Peer, Store: e.platform}),
 		Sealer:      sealer.New(sealer.Config{Key: key}),
 		Recorder:    records, Daemons: e.members, Logger: e.c.Logger, Metrics: e.scope, EarnRetry: budget.Earn,
 	})
--- a/internal/role/gateway/digests.go
+++ b/internal/role/gateway/digests.go
@@ -121,13 +121,13 @@
 		Observing: own.Observing, Relaying: own.Relaying, Leaving: own.Leaving, Departures: own.Departures, Speeds: own.Speeds,
 		Suspects: own.Suspects, Rollouts: g.encodeRollouts(), OrdersKnown: own.OrdersKnown, Limits: own.Limits, Rests: own.Rests,
 	}
-	near := to.Zone == "" || to.Zone == g.c.Deployment.AvailabilityZone
-	if near || to.FullMesh {
+	sameZone := to.Zone == "" || to.Zone == g.c.Deployment.AvailabilityZone
+	if sameZone || to.FullMesh {
 		out.Counts, out.Charges, out.Demands, out.Loads = own.Counts, own.Charges, own.Demands, own.Loads
 		out.Trials = own.Trials
 	}
 	out.RosterKnown = g.roster.KnownHashes(to.Address)
-	for _, zone := range g.roster.ZoneRosters(g.rosterZones(own, near), own.Relaying, g.rosterMember(own), now) {
+	for _, zone := range g.roster.ZoneRosters(g.rosterZones(own, sameZone), own.Relaying, g.rosterMember(own), now) {
 		out.RosterHashes = append(out.RosterHashes, zone.GetHash())
 		if !slices.Contains(to.KnownRosterHashes, zone.GetHash()) {
 			out.Roster = append(out.Roster, zone)
@@ -139,7 +139,7 @@
 	switch {
 	case to.Host == "":
 		// Which sum the receiver needs is unknown.
-	case !near:
+	case !sameZone:
 		out.Summary = g.aggregator.ZoneSum(now)
 	case !to.Relaying:
 		out.Summary = g.aggregator.FleetSumExcept(to.Host, now)
@@ -153,8 +153,8 @@
 
 // rosterZones returns the zones whose daemons are listed for a receiver; nil means all. Relays
 // list only the daemons of their own zone to each other.
-func (g *Gateway) rosterZones(own *rpc.Digest, near bool) []identifier.AvailabilityZone {
-	if own.Relaying && !near {
+func (g *Gateway) rosterZones(own *rpc.Digest, sameZone bool) []identifier.AvailabilityZone {
+	if own.Relaying && !sameZone {
 		return []identifier.AvailabilityZone{g.c.Deployment.AvailabilityZone}
 	}
 	return nil
--- a/internal/role/gateway/duties.go
+++ b/internal/role/gateway/duties.go
@@ -85,9 +85,9 @@
 	u := &duties{g: g, cloud: platform.NewCloud(d.Cloud.String(), g.newPlatformClient()), promoter: promoter.New(promoter.Config{MaxShare: d.Bounds.CanaryShare})}
 	u.usageReporter = usagereporter.New(usagereporter.Config{
 		Store: g.store, Now: g.clock.Now, Window: d.Bounds.UsageWindow, ReportWithin: d.Bounds.UsageDue - reportMargin, SettleDelay: g.settleTime,
-		DaemonCounts: u.processCounts, Organisations: u.organisations, Send: u.report, Logger: g.c.Logger,
+		DaemonCounts: u.processCounts, Organisations: u.organisations, Send: u.reportUsage, Logger: g.c.Logger,
 	})
-	u.autoscaler = autoscaler.New(autoscaler.Config{SetDesired: u.order, Logger: g.c.Logger, FirstStart: d.FirstStart})
+	u.autoscaler = autoscaler.New(autoscaler.Config{SetDesired: u.setDesired, Logger: g.c.Logger, FirstStart: d.FirstStart})
 	g.tree.Add(serviceFunc(g.keepLease))
 	if !d.FirstStart {
 		g.tree.Add(g.readOnStart("fleet size", g.readFleet))
@@ -151,9 +151,9 @@
 	})
 }
 
-// mandate returns the proof of the lease for a call. It fails if the lease is no longer held under
+// leaseHolder returns the credentials of the lease holder for a call. It fails if the lease is no longer held under
 // the fencing number that the caller decided with.
-func (u *duties) mandate(fencing uint64) (platform.LeaseHolder, error) {
+func (u *duties) leaseHolder(fencing uint64) (platform.LeaseHolder, error) {
 	now, held := u.g.lease.HeldExclusively()
 	if !held || now != fencing {
 		return platform.LeaseHolder{}, errNotHeld
@@ -161,20 +161,22 @@
 	return platform.LeaseHolder{Host: u.g.c.Deployment.Host, Fencing: fencing}, nil
 }
 
-func (u *duties) report(ctx context.Context, fencing uint64, window int64, counts usagereporter.Counts) error {
-	m, err := u.mandate(fencing)
+// reportUsage reports the counts of a usage window to the cloud.
+func (u *duties) reportUsage(ctx context.Context, fencing uint64, window int64, counts usagereporter.Counts) error {
+	holder, err := u.leaseHolder(fencing)
 	if err != nil {
 		return err
 	}
-	return u.cloud.ReportUsage(ctx, m, window, counts)
+	return u.cloud.ReportUsage(ctx, holder, window, counts)
 }
 
-func (u *duties) order(ctx context.Context, fencing uint64, s identifier.Service, z identifier.AvailabilityZone, class document.Class, wanted int) error {
-	m, err := u.mandate(fencing)
+// setDesired sets the desired number of a service's endpoints at the cloud.
+func (u *duties) setDesired(ctx context.Context, fencing uint64, s identifier.Service, z identifier.AvailabilityZone, class document.Class, wanted int) error {
+	holder, err := u.leaseHolder(fencing)
 	if err != nil {
 		return err
 	}
-	return u.cloud.SetDesired(ctx, m, s, z, class, wanted)
+	return u.cloud.SetDesired(ctx, holder, s, z, class, wanted)
 }
 
 // processCounts returns the usage counts of each process, including processes that have ended.
--- a/internal/role/gateway/rollouts_test.go
+++ b/internal/role/gateway/rollouts_test.go
@@ -20,11 +20,11 @@
 
 // Bounds of what a bad version may get, and the durations of the platform's roll-outs.
 const (
-	canaryShare  = 0.1
-	canarySlack  = 50
-	rollbackTime = 5 * time.Second
-	bootDelay    = 4 * time.Second
-	drainPeriod  = 3 * time.Second
+	canaryShare = 0.1
+	canarySlack = 50
+	revertTime  = 5 * time.Second
+	bootDelay   = 4 * time.Second
+	drainPeriod = 3 * time.Second
 	// versionEngines is the number of engines of each version.
 	versionEngines = 24
 	oldVersion     = "v1"
@@ -82,7 +82,7 @@
 		f.rate = wideLink
 		f.adjust = func(d *deployment.Deployment) {
 			d.Rollouts = true
-			d.Bounds.CanaryShare, d.Bounds.CanarySlack, d.Bounds.RevertTime = canaryShare, canarySlack, rollbackTime
+			d.Bounds.CanaryShare, d.Bounds.CanarySlack, d.Bounds.RevertTime = canaryShare, canarySlack, revertTime
 		}
 		v := &versionFleet{f: f, host: f.network.Host(storeLink), engines: make(map[string][]*http.Server)}
 		v.answers = func(_, path string, _ time.Duration, _ int) (engineAnswer, bool) { return healthyAnswer(path), false }
@@ -236,7 +236,7 @@
 	}
 	slices.SortFunc(bads, time.Time.Compare)
 	for _, a := range v.arrivals {
-		if late := a.at.Sub(bads[canarySlack-1]); a.version == newVersion && late > rollbackTime {
+		if late := a.at.Sub(bads[canarySlack-1]); a.version == newVersion && late > revertTime {
 			v.f.t.Errorf("a request went to the new version %v after its 50th bad answer", late)
 			return
 		}
--- a/internal/route/splitter/grant.go
+++ b/internal/route/splitter/grant.go
@@ -81,7 +81,7 @@
 	return v.grant.Order == v.order.OrderID() && now.Sub(v.grant.IssuedAt) < s.grantTime()
 }
 
-// grantTime returns how long a grant is valid, given the configured RollbackTime.
+// grantTime returns how long a grant is valid, given the configured RevertTime.
 func (s *Splitter) grantTime() time.Duration {
 	if s.c.RevertTime <= 0 {
 		return grantTime
--- a/internal/serve/transferrer/transferrer.go
+++ b/internal/serve/transferrer/transferrer.go
@@ -42,7 +42,7 @@
 
 // Config holds the dependencies of a Transferrer.
 type Config struct {
-	Ledger   *membertracker.Tracker
+	Members  *membertracker.Tracker
 	Retainer *retainer.Retainer
 	// Peer returns a client for a peer's address.
 	Peer func(address string) rpc.Peer
@@ -76,7 +76,7 @@
 
 // SelfAddresses returns this daemon's address as a list of holders, empty if it has none.
 func (c *Transferrer) SelfAddresses() []netip.AddrPort {
-	a, err := netip.ParseAddrPort(c.c.Ledger.Self().PeerAddress)
+	a, err := netip.ParseAddrPort(c.c.Members.Self().PeerAddress)
 	if err != nil {
 		return nil
 	}
@@ -154,9 +154,9 @@
 // peersByZone lists live peers, alternating between other zones and this daemon's zone.
 // Other zones come first.
 func (c *Transferrer) peersByZone() []*rpc.Member {
-	zone := c.c.Ledger.Self().AvailabilityZone
+	zone := c.c.Members.Self().AvailabilityZone
 	var sameZone, otherZones []*rpc.Member
-	for _, m := range c.c.Ledger.Alive() {
+	for _, m := range c.c.Members.Alive() {
 		if m.State != rpc.State_ALIVE {
 			continue
 		}
@@ -184,7 +184,7 @@
 	if e, ok := c.c.Retainer.Fetch(t.Organisation, t.Instance); ok {
 		return e, true
 	}
-	own := c.c.Ledger.Self().PeerAddress
+	own := c.c.Members.Self().PeerAddress
 	for _, a := range t.Holders {
 		if a.String() == own {
 			continue
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -8,7 +8,7 @@
 //
 // # Usage
 //
-//	p := platform.New(platform.Config{HostLag: time.Second})
+//	p := platform.New(platform.Config{HostListLag: time.Second})
 //	http.Serve(listener, p)
 //
 // # Paths
