--- a/internal/peer/mirror/mirror_test.go
+++ b/internal/peer/mirror/mirror_test.go
@@ -78,8 +78,9 @@
 }
 
 // A daemon that has just started lists the store after an endpoint was deleted. A peer that
-// still knows the endpoint asks it for the changes since. It got a higher revision without the
-// deletion, asked no other peer, and sent requests to the endpoint 20 s after its end.
+// still lists the endpoint asks it for the changes since. If the answer is a higher revision without
+// the deletion, the peer asks no other peer, and still sends requests to the endpoint 20 s after
+// its end.
 func TestFirstListIsNotPassedOnAsChanges(t *testing.T) {
 	for _, uncertain := range []bool{false, true} {
 		var newcomer, lagging Mirror
--- a/internal/peer/roster/message.go
+++ b/internal/peer/roster/message.go
@@ -139,7 +139,7 @@
 		previous = previous.inZonesOf(next)
 	}
 	// Daemons that this relay no longer lists have not been heard by it lately. What another
-	// relay said about them stays.
+	// relay reported about them stays.
 	r.setVouched(previous, time.Time{}, address, senderZone, senderZoneOnly)
 	r.setVouched(next, vouched, address, senderZone, senderZoneOnly)
 }
@@ -157,9 +157,9 @@
 	return out
 }
 
-// setVouched sets when the relay at the address by last said that the daemons of a roster are
-// live, with senderZoneOnly just for daemons of senderZone. A zero time withdraws only what that
-// same relay said.
+// setVouched sets when the relay at the address by last listed the daemons of a roster as live,
+// with senderZoneOnly just for daemons of senderZone. A zero time withdraws only what that
+// same relay reported.
 func (r *Roster) setVouched(lists receivedRoster, at time.Time, by string, senderZone identifier.AvailabilityZone, senderZoneOnly bool) {
 	for _, list := range lists {
 		if senderZoneOnly && list.zone != senderZone {
--- a/internal/peer/roster/roster.go
+++ b/internal/peer/roster/roster.go
@@ -36,14 +36,14 @@
 	minRelaysPerZone = 2
 	minRelays        = 8
 	// maxExtraRelays bounds the daemons that are called as relays besides those chosen by rank
-	// because they say that they are: the holder of the duties lease, and one whose view of the
-	// fleet differs. Without a bound, a daemon of a starting fleet would call all others, as
+	// because their digests state that they are: the holder of the duties lease, and one whose view
+	// of the fleet differs. Without a bound, a daemon of a starting fleet would call all others, as
 	// each knows hardly any other and considers itself a relay.
 	maxExtraRelays = 2
 	// minFollowers is how many relays watch the store for the others, at least one in each zone.
 	// Each call to the store is priced, and each change of an endpoint costs each follower a
 	// call: with 12 followers among 24 daemons a minute took 2,141 calls, with six 1,316. If
-	// fewer than minObservers say that they reach the store, all relays try.
+	// fewer than minObservers report that they reach the store, all relays try.
 	minFollowers = 4
 	minObservers = 2
 	// LivenessTimeout is how long a daemon counts as live after it was heard directly or a relay
@@ -79,8 +79,8 @@
 	// Observing means that the daemon watches the store and reaches it, Stopping that it takes
 	// no new work, Relaying that it states that it is a relay.
 	Observing, Stopping, Relaying bool
-	// AnsweredAt is when the daemon last answered or called, VouchedAt when a relay last said
-	// that it is live, AddedAt when it became known.
+	// AnsweredAt is when the daemon last answered or called, VouchedAt when a relay last
+	// listed it as live, AddedAt when it became known.
 	AnsweredAt, VouchedAt, AddedAt time.Time
 	// vouchedBy is the address of the relay that set VouchedAt.
 	vouchedBy string
--- a/internal/peer/supplier/supplier.go
+++ b/internal/peer/supplier/supplier.go
@@ -2,7 +2,7 @@
 //
 // [Supplier.Snapshot] answers a peer with the objects that it lacks, compressed if they are
 // large. [Supplier.RequestSnapshot] requests them from a peer. A daemon whose link is in use
-// says that it is busy, and names peers that it has served and that therefore have the objects
+// replies that it is busy, and names peers that it has served and that therefore have the objects
 // ([BusyError]).
 //
 // Peers of the previous version do not read packed answers. They get plain ones, and an error
--- a/internal/peer/supplier/supplier_test.go
+++ b/internal/peer/supplier/supplier_test.go
@@ -119,7 +119,7 @@
 	}
 }
 
-// A daemon of the previous version would take a busy reply for "nothing new" and never ask
+// A daemon of the previous version would treat a busy reply as "nothing new" and never ask
 // again.
 func TestBusyForOldPeersIsAnError(t *testing.T) {
 	open := gate(false)
@@ -142,10 +142,10 @@
 	}
 }
 
-// A configuration changes while a peer is busy sending it. The peer named daemons that
-// it had served with the previous one, and lagging daemons fetched that previous one, which they
-// already had, from each of them in turn while others had the new one. In 3 of 25 runs one daemon of forty was
-// behind for more than three seconds.
+// A configuration changes while a peer is busy sending it. The peer named daemons that it had
+// served with the previous one, and lagging daemons fetched that previous one, which they already
+// had, from each of them in turn while others had the new one. In 3 of 25 runs one daemon of forty
+// was behind for more than three seconds.
 func TestHoldersOfAnOlderRevisionAreNotNamed(t *testing.T) {
 	open, m := gate(true), new(mirror.Mirror)
 	m.Apply([]object.Object{large})
--- a/internal/peer/throttler/throttler.go
+++ b/internal/peer/throttler/throttler.go
@@ -1,4 +1,4 @@
-// Package throttler bounds the bytes of large answers that a daemon sends at a time.
+// Package throttler bounds the bytes of large answers that a daemon sends at the same time.
 //
 // When a large configuration changes, dozens of daemons ask the first one that has it. If all
 // were served at the same time, each would get a fiftieth of the link, none would be done within
@@ -10,7 +10,7 @@
 //
 //	t := throttler.New(throttler.Config{BytesPerSecond: 1.25e6})
 //	handler = t.Handler(handler) // admitted bytes count until the answer is written
-//	if !t.Admit(ctx, len(answer)) { say that the daemon is busy }
+//	if !t.Admit(ctx, len(answer)) { reply that the daemon is busy }
 package throttler
 
 import (
--- a/internal/role/gateway/admission.go
+++ b/internal/role/gateway/admission.go
@@ -97,8 +97,8 @@
 	return g.roster.Count(time.Now())
 }
 
-// fleetSize estimates the number of daemons, including those not heard from. A process that
-// starts together with many others knows no peer yet, and would otherwise claim all quotas for itself.
+// fleetSize estimates the number of daemons, including those not heard from. A process that starts
+// together with many others knows no peer yet, and would otherwise claim all quotas for itself.
 func (g *Gateway) fleetSize() int {
 	d := g.c.Deployment
 	return max(len(d.Zones), len(d.Seeds)+1, int(g.reportedFleetSize.Load()))
--- a/internal/role/gateway/departures.go
+++ b/internal/role/gateway/departures.go
@@ -9,8 +9,8 @@
 	"brasschute/internal/serve/request"
 )
 
-// markDeparting marks an endpoint as leaving because its own answer said so. The mark applies
-// to this incarnation of the endpoint, whatever the store says: the endpoint may be unable to
+// markDeparting marks an endpoint as leaving because its own answer stated it. The mark applies
+// to this incarnation of the endpoint, regardless of its store record: the endpoint may be unable to
 // reach the store, or the store may be unavailable.
 func (g *Gateway) markDeparting(q *request.Request, pick *registry.Pick) {
 	if !g.registry.MarkLeaving(pick.Host, pick.Incarnation, time.Time{}) {
--- a/internal/role/gateway/departures_test.go
+++ b/internal/role/gateway/departures_test.go
@@ -14,9 +14,9 @@
 	return ids
 }
 
-// An engine tells one daemon that it is leaving. All other daemons must learn it soon, also one
-// that starts later, and a store record that says "ready" must not revoke it. The engine's next
-// incarnation must not be affected.
+// An engine reports to one daemon that it is leaving. All other daemons must learn it soon,
+// including one that starts later, and a store record with the state "ready" must not revoke it.
+// The engine's next incarnation must not be affected.
 func TestAllDaemonsKnowOfAnAnswerThatAnEngineLeaves(t *testing.T) {
 	first := func(place int, _ time.Duration) http.Header {
 		if place == 0 {
--- a/internal/role/gateway/duties.go
+++ b/internal/role/gateway/duties.go
@@ -32,7 +32,7 @@
 	// maxOrderDelay is how long a call of a former holder may still be in flight: the caller ends
 	// calls after a second.
 	maxOrderDelay = time.Second
-	// holderTimeout is how long a peer counts as the lease holder after it has said so. The
+	// holderTimeout is how long a peer counts as the lease holder after it reported so. The
 	// holder notifies the candidates every holderNoteInterval.
 	holderTimeout      = 1500 * time.Millisecond
 	holderNoteInterval = time.Second
@@ -151,8 +151,8 @@
 	})
 }
 
-// leaseHolder returns the credentials of the lease holder for a call. It fails if the lease is no longer held under
-// the fencing number that the caller decided with.
+// leaseHolder returns the credentials of the lease holder for a call. It fails if the lease is no
+// longer held under the fencing number that the caller decided with.
 func (u *duties) leaseHolder(fencing uint64) (platform.LeaseHolder, error) {
 	now, held := u.g.lease.HeldExclusively()
 	if !held || now != fencing {
@@ -230,7 +230,7 @@
 	return out
 }
 
-// heldByOther reports whether a peer recently said that it holds the lease. In a large fleet
+// heldByOther reports whether a peer recently reported that it holds the lease. In a large fleet
 // only daemons that watch the store compete for the lease.
 func (g *Gateway) heldByOther() bool {
 	if !g.watchesStore() {
--- a/internal/role/gateway/fleet_test.go
+++ b/internal/role/gateway/fleet_test.go
@@ -285,7 +285,7 @@
 
 // A daemon starts while the store refuses its calls, and the configuration is a megabyte. Its
 // peers have it, but if each is given 0.7 s for the answer and the daemon's link needs 0.8 s,
-// it asks forever, applies nothing, and refuses what its peers serve.
+// it retries forever, applies nothing, and refuses requests that its peers serve.
 func TestNewDaemonTakesALargeConfigurationFromPeers(t *testing.T) {
 	inPausedTime(t, func(t *testing.T) {
 		f := newTestFleet(t)
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -117,7 +117,7 @@
 	// ReadDeployment reads the deployment again, which may change while the daemon runs. Nil
 	// disables reloading.
 	ReadDeployment func() (*deployment.Deployment, error)
-	// Reload receives a signal when the deployment is said to have changed; may be nil.
+	// Reload receives a signal when the deployment may have changed; may be nil.
 	Reload <-chan os.Signal
 	// Network opens connections and listeners; nil means the host's own network.
 	Network Network
@@ -179,7 +179,7 @@
 	// splitter splits requests between the versions of a service's endpoints.
 	splitter *splitter.Splitter
 	// pacer keeps requests within endpoints' rate limits. endpointLogs limits the log lines about
-	// what endpoints say about themselves.
+	// what endpoints report about themselves.
 	pacer        *pacer.Pacer
 	endpointLogs *rate.Limiter
 	// backoffNotes limits the notes sent about endpoints that asked for a backoff.
--- a/internal/role/gateway/gossip.go
+++ b/internal/role/gateway/gossip.go
@@ -22,7 +22,8 @@
 )
 
 const (
-	// bootstrapInterval is how often a daemon without a configuration or endpoints asks peers.
+	// bootstrapInterval is how often a daemon without a configuration or endpoints requests them
+	// from peers.
 	bootstrapInterval = 300 * time.Millisecond
 	// maxAskedPeers is how many peers are asked, within askTimeout, whether objects missing from
 	// a list were deleted. More than one, because one may lag.
--- a/internal/role/gateway/headers_test.go
+++ b/internal/role/gateway/headers_test.go
@@ -78,10 +78,11 @@
 	perSecond float64
 }{{8, 45}, {83, 160}, {195, 300}}
 
-// drainTime is how long a daemon may still send to an engine that has reported to it that it is leaving.
+// drainTime is how long a daemon may still send to an engine that has reported to it that it is
+// leaving.
 const drainTime = 2 * time.Second
 
-// The store is unavailable, and engines say in their answers that they are leaving. When a
+// The store is unavailable, and engines report in their answers that they are leaving. When a
 // daemon did not keep this beyond the one answer, requests went to them until the store was back.
 func TestEngineThatSaysSoIsLeftAlone(t *testing.T) {
 	half := func(place int, since time.Duration) http.Header {
--- a/internal/role/gateway/limits.go
+++ b/internal/role/gateway/limits.go
@@ -38,7 +38,7 @@
 	return f
 }
 
-// ObserveReply applies what an endpoint says about itself in the headers of an answer: that it is
+// ObserveReply applies what an endpoint reports about itself in the headers of an answer: that it is
 // leaving, or its rate limit. sent is when the request was sent.
 func (g *Gateway) ObserveReply(q *request.Request, pick *registry.Pick, reply *request.Reply, sent time.Time) {
 	if reply.EndpointLeaving {
--- a/internal/role/gateway/rollouts_test.go
+++ b/internal/role/gateway/rollouts_test.go
@@ -365,7 +365,7 @@
 	return -1
 }
 
-// The lease holder is isolated in the middle of the trial of a failing version, and with it
+// The lease holder is isolated in the middle of the canary phase of a failing version, and with it
 // everything known about the answers. No daemon grants the roll-out any more, so no further request
 // may go to the version until the next holder has received the tallies and reverts it.
 func TestVersionWithoutAHolderIsNotTried(t *testing.T) {
