--- a/internal/peer/mirror/mirror_test.go
+++ b/internal/peer/mirror/mirror_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// The entry of a live endpoint lapses while the store is away, and returns with a new version. A
-// daemon that took the deletion for final never used the endpoint again.
+// The entry of a live endpoint lapses while the store is unavailable, and returns with a new
+// version. A daemon that treated the deletion as final never used the endpoint again.
 func TestLapsedEndpointsReturn(t *testing.T) {
 	var m Mirror
 	m.Apply([]object.Object{{Key: "servers/a", Version: 3}})
@@ -78,8 +78,9 @@
 }
 
 // A daemon that has just started lists the store after an endpoint was deleted. A peer that
-// still knows the endpoint asks it for the changes since. It got a higher revision without the
-// deletion, asked no other peer, and sent requests to the endpoint 20 s after its end.
+// still lists the endpoint asks it for the changes since. If the answer is a higher revision without
+// the deletion, the peer asks no other peer, and still sends requests to the endpoint 20 s after
+// its end.
 func TestFirstListIsNotPassedOnAsChanges(t *testing.T) {
 	for _, uncertain := range []bool{false, true} {
 		var newcomer, lagging Mirror
--- a/internal/role/gateway/departures_test.go
+++ b/internal/role/gateway/departures_test.go
@@ -14,9 +14,9 @@
 	return ids
 }
 
-// An engine tells one daemon that it is leaving. All other daemons must learn it soon, also one
-// that starts later, and a store record that says "ready" must not revoke it. The engine's next
-// incarnation must not be affected.
+// An engine reports to one daemon that it is leaving. All other daemons must learn it soon,
+// including one that starts later, and a store record with the state "ready" must not revoke it.
+// The engine's next incarnation must not be affected.
 func TestAllDaemonsKnowOfAnAnswerThatAnEngineLeaves(t *testing.T) {
 	first := func(place int, _ time.Duration) http.Header {
 		if place == 0 {
@@ -25,7 +25,7 @@
 		return nil
 	}
 	inHeaderFleet(t, 8, first, func(s *headerRecorder, _ *engineFleet) {
-		for len(s.firstToldAt) == 0 {
+		for len(s.firstSentAt) == 0 {
 			s.f.ask(0, streamPath, s.f.randomName())
 		}
 		time.Sleep(time.Second)
--- a/internal/role/gateway/gateway.go
+++ b/internal/role/gateway/gateway.go
@@ -12,7 +12,7 @@
 //	├── readiness                   listener for the load balancer
 //	└── metrics                     listener for metrics
 //
-// On a stop signal readiness fails at once and for good. New connections are still served for
+// On a stop signal readiness fails at once and permanently. New connections are still served for
 // [balancerLag], because the balancer may still send some; answers close their connections.
 // Then the listener closes, and requests already read are answered within the grace period.
 //
@@ -117,7 +117,7 @@
 	// ReadDeployment reads the deployment again, which may change while the daemon runs. Nil
 	// disables reloading.
 	ReadDeployment func() (*deployment.Deployment, error)
-	// Reload receives a signal when the deployment is said to have changed; may be nil.
+	// Reload receives a signal when the deployment may have changed; may be nil.
 	Reload <-chan os.Signal
 	// Network opens connections and listeners; nil means the host's own network.
 	Network Network
@@ -170,16 +170,16 @@
 	// daemon's isolation was, both in Unix nanoseconds.
 	overdraftLoggedAt atomic.Int64
 	isolatedLoggedAt  atomic.Int64
-	// refusedSumsLoggedAt is when rejected parts of a peer's sums were last logged, in Unix
+	// rejectedSumsLoggedAt is when rejected parts of a peer's sums were last logged, in Unix
 	// nanoseconds.
-	refusedSumsLoggedAt atomic.Int64
+	rejectedSumsLoggedAt atomic.Int64
 	// estimator estimates the speed of engines.
 	estimator   estimator.Estimator
 	demandMeter demandmeter.Meter
 	// splitter splits requests between the versions of a service's endpoints.
 	splitter *splitter.Splitter
 	// pacer keeps requests within endpoints' rate limits. endpointLogs limits the log lines about
-	// what endpoints say about themselves.
+	// what endpoints report about themselves.
 	pacer        *pacer.Pacer
 	endpointLogs *rate.Limiter
 	// backoffNotes limits the notes sent about endpoints that asked for a backoff.
